--- a/fuzz/platform_fuzz.cpp
+++ b/fuzz/platform_fuzz.cpp
@@ -43,19 +43,19 @@
 
     const PlatformDialect dialect;
     RequestHead request{"POST", "/x", fieldsOf(text), true};
-    const auto facts = dialect.readCall(request);
-    Fuzz::require(facts || !facts.error().what.empty());
-    const RequestHead forwarded = dialect.forwardHead(request, ForwardFacts());
+    const auto metadata = dialect.readRequestMetadata(request);
+    Fuzz::require(metadata || !metadata.error().what.empty());
+    const RequestHead forwarded = dialect.endpointRequestHead(request, ForwardingMetadata());
     Fuzz::require(forwarded.fields.find("Authorization") == nullptr);
     Fuzz::require(forwarded.fields.find("X-Kv-Hold") == nullptr);
     ResponseHead response;
     response.fields = request.fields;
-    static_cast<void>(dialect.readAnswer(response));
+    static_cast<void>(dialect.readResponseMetadata(response));
 
     EventSplitter splitter;
     std::vector<StreamEvent> events;
-    const std::string first = splitter.take(std::string_view(text).substr(0, text.size() / 2), events);
-    const std::string second = splitter.take(std::string_view(text).substr(text.size() / 2), events);
-    Fuzz::require(first + second + splitter.rest() == text);
+    const std::string first = splitter.append(std::string_view(text).substr(0, text.size() / 2), events);
+    const std::string second = splitter.append(std::string_view(text).substr(text.size() / 2), events);
+    Fuzz::require(first + second + splitter.remainder() == text);
     return 0;
 }
--- a/src/gateway/endpoint_link_base.cpp
+++ b/src/gateway/connection_pool_base.cpp
@@ -1,5 +1,5 @@
-/** @file endpoint_link_base.cpp  Kept and new connections. */
-#include "gateway/endpoint_link_base.h"
+/** @file connection_pool_base.cpp  Opens, reuses and expires connections to endpoints. */
+#include "gateway/connection_pool_base.h"
 
 #include <algorithm>
 #include <utility>
@@ -12,7 +12,7 @@
 bool EndpointConnection::send(kj::WaitScope &scope, kj::Timer &timer, std::string_view bytes, kj::TimePoint deadline)
 {
     this->input.setDeadline(timer, deadline);
-    // A socket that was reset throws at once; inside a promise that is a failure like any other.
+    // write() throws synchronously on a socket that was reset; evalNow() turns that into a rejected promise.
     auto written = kj::evalNow([&]() {
         return this->stream->write(bytes.data(), bytes.size());
     });
@@ -29,45 +29,45 @@
     return outcome.exclusiveJoin(kj::mv(late)).wait(scope);
 }
 
-EndpointLinks::EndpointLinks(ControlLoop &loop)
+ConnectionPool::ConnectionPool(ControlLoop &loop)
     : loop(loop)
 {
 }
 
-void EndpointLinks::dropSpoilt(std::vector<std::unique_ptr<EndpointConnection>> &list)
+void ConnectionPool::removeUnusable(std::vector<std::unique_ptr<EndpointConnection>> &list)
 {
     const Instant now = this->loop.timers().now();
     std::erase_if(list, [now](const auto &connection) {
-        return connection->spoilt || now - connection->idleSince > connection->idleLimit;
+        return connection->unusable || now - connection->idleSince > connection->idleTimeout;
     });
 }
 
-std::unique_ptr<EndpointConnection> EndpointLinks::takeKept(const std::string &address)
+std::unique_ptr<EndpointConnection> ConnectionPool::takeIdle(const std::string &address)
 {
     const auto list = this->idle.find(address);
     if (list == this->idle.end()) {
         return nullptr;
     }
-    this->dropSpoilt(list->second);
+    this->removeUnusable(list->second);
     if (list->second.empty()) {
         return nullptr;
     }
     auto connection = std::move(list->second.back());
     list->second.pop_back();
-    connection->watching = nullptr;
-    connection->idleLimit = Duration(0); // Until the next answer says otherwise.
+    connection->closeWatch = nullptr;
+    connection->idleTimeout = Duration(0); // Set again by the next response.
     return connection;
 }
 
-std::unique_ptr<EndpointConnection> EndpointLinks::connect(
-    kj::WaitScope &scope, const std::string &address, Duration limit)
+std::unique_ptr<EndpointConnection> ConnectionPool::connect(
+    kj::WaitScope &scope, const std::string &address, Duration timeout)
 {
     auto connecting = this->loop.rpc().network.parseAddress(address).then([](kj::Own<kj::NetworkAddress> &&parsed) {
         auto connected = parsed->connect();
         return connected.attach(kj::mv(parsed));
     });
     return this->loop.kjTimer()
-        .timeoutAfter(kjDuration(std::max(limit, Duration(0))), kj::mv(connecting))
+        .timeoutAfter(kjDuration(std::max(timeout, Duration(0))), kj::mv(connecting))
         .then(
             [](kj::Own<kj::AsyncIoStream> &&stream) {
                 return std::make_unique<EndpointConnection>(kj::mv(stream));
@@ -78,38 +78,39 @@
         .wait(scope);
 }
 
-void EndpointLinks::keep(const std::string &address, std::unique_ptr<EndpointConnection> connection, Duration idleLimit)
+void ConnectionPool::addIdle(
+    const std::string &address, std::unique_ptr<EndpointConnection> connection, Duration idleTimeout)
 {
     auto &list = this->idle[address];
-    this->dropSpoilt(list);
-    if (!connection->input.unreadBytes().empty() || list.size() >= MostKept) {
+    this->removeUnusable(list);
+    if (!connection->input.unreadBytes().empty() || list.size() >= MaxIdleConnections) {
         return;
     }
     connection->idleSince = this->loop.timers().now();
-    connection->idleLimit = idleLimit;
+    connection->idleTimeout = idleTimeout;
     connection->input.clearDeadline();
-    EndpointConnection &kept = *connection;
-    // Any byte that comes now belongs to no request.
-    kept.watching = kept.input.readMore()
-                        .then([&kept](bool /*open*/) {
-                            kept.spoilt = true;
-                        })
-                        .eagerlyEvaluate(nullptr);
+    EndpointConnection &pooled = *connection;
+    // Data that arrives while no request is in flight belongs to no response.
+    pooled.closeWatch = pooled.input.readMore()
+                            .then([&pooled](bool /*open*/) {
+                                pooled.unusable = true;
+                            })
+                            .eagerlyEvaluate(nullptr);
     list.push_back(std::move(connection));
 }
 
-Duration EndpointLinks::idleLimitOf(const HttpFields &fields)
+Duration ConnectionPool::idleTimeoutFrom(const HttpFields &fields)
 {
     constexpr std::string_view Parameter = "timeout=";
     const std::string *field = fields.find("Keep-Alive");
     const std::size_t at = field == nullptr ? std::string::npos : field->find(Parameter);
     if (at == std::string::npos) {
-        return StandardIdleLimit;
+        return DefaultIdleTimeout;
     }
     const std::size_t from = at + Parameter.size();
     unsigned seconds = 0;
     if (!Poco::NumberParser::tryParseUnsigned(field->substr(from, field->find(',', from) - from), seconds)) {
-        return StandardIdleLimit;
+        return DefaultIdleTimeout;
     }
     return Duration(std::chrono::seconds(seconds)) * 3 / 4;
 }
--- a/src/gateway/event_split_func.cpp
+++ b/src/gateway/event_split_func.cpp
@@ -1,4 +1,4 @@
-/** @file event_split_func.cpp  Events of a text/event-stream. */
+/** @file event_split_func.cpp  Parser for server-sent events. */
 #include "gateway/event_split_func.h"
 
 namespace Chestnuthook
@@ -7,8 +7,8 @@
 namespace
 {
 
-/** End of the first event in @p text from @p from on: after its blank line; npos where it isn't whole. */
-std::size_t eventEnd(std::string_view text, std::size_t from)
+/** Position after the blank line that ends the event starting at @p from; npos if the event is incomplete. */
+std::size_t findEventEnd(std::string_view text, std::size_t from)
 {
     std::size_t line = from;
     while (true) {
@@ -56,11 +56,12 @@
     return event;
 }
 
-std::string EventSplitter::take(std::string_view bytes, std::vector<StreamEvent> &events)
+std::string EventSplitter::append(std::string_view bytes, std::vector<StreamEvent> &events)
 {
     this->pending += bytes;
     std::size_t whole = 0;
-    for (std::size_t end = eventEnd(this->pending, 0); end != std::string::npos; end = eventEnd(this->pending, whole)) {
+    for (std::size_t end = findEventEnd(this->pending, 0); end != std::string::npos;
+         end = findEventEnd(this->pending, whole)) {
         events.push_back(parseEvent(std::string_view(this->pending).substr(whole, end - whole)));
         whole = end;
     }
--- a/src/gateway/event_split_func.h
+++ b/src/gateway/event_split_func.h
@@ -1,4 +1,4 @@
-/** @file event_split_func.h  Finds whole events in the bytes of an event stream, and their data. Pure. */
+/** @file event_split_func.h  Splits a text/event-stream into events and parses them. Pure functions without I/O. */
 #pragma once
 
 #include <cstddef>
@@ -11,30 +11,30 @@
 
 struct StreamEvent
 {
-    std::string id; ///< Empty where it has none.
-    std::string data; ///< Lines of data, joined by line feeds.
-    bool hasData = false; ///< Else a comment or a field of its own.
+    std::string id; ///< Empty if the event has none.
+    std::string data; ///< Values of the data lines, joined with line feeds.
+    bool hasData = false; ///< False for comments and for events that have only other fields.
 };
 
-/** Cuts the bytes of a stream into events as they come. */
+/** Incrementally splits the bytes of a stream into events. */
 class EventSplitter
 {
 public:
-    /** Takes @p bytes. @return all bytes up to the end of the last whole event; the rest waits. The events in them are
-     * added to @p events. */
-    [[nodiscard]] std::string take(std::string_view bytes, std::vector<StreamEvent> &events);
-    /** Bytes after the last whole event. */
-    [[nodiscard]] const std::string &rest() const
+    /** Appends @p bytes to the buffer. @return the buffered bytes up to the end of the last complete event, which are
+     * removed from the buffer; the events in them are added to @p events. */
+    [[nodiscard]] std::string append(std::string_view bytes, std::vector<StreamEvent> &events);
+    /** Buffered bytes after the last complete event. */
+    [[nodiscard]] const std::string &remainder() const
     {
         return this->pending;
     }
-    void clearRest()
+    void clearRemainder()
     {
         this->pending.clear();
     }
 
 private:
-    std::string pending; ///< An event that isn't whole yet.
+    std::string pending; ///< Start of an incomplete event.
 };
 
 [[nodiscard]] StreamEvent parseEvent(std::string_view text);
--- a/src/gateway/gateway_base.cpp
+++ b/src/gateway/gateway_base.cpp
@@ -1,4 +1,5 @@
-/** @file gateway_base.cpp  Admission of a request: configuration, key, rate, budget and history. */
+/** @file gateway_base.cpp  Admission of client requests: configuration, API key, rate limit, token budget and history.
+ */
 #include "gateway/gateway_base.h"
 
 #include <algorithm>
@@ -15,28 +16,29 @@
 namespace
 {
 
-/** A gateway that has just started waits this long for a configuration before it refuses a request. */
+/** A gateway that has just started waits this long for a configuration before it rejects a request. */
 constexpr Duration ConfigurationWait = std::chrono::milliseconds(700);
-constexpr double SoonSeconds = 0.2; ///< Retry-After where a gateway or member is expected back at once.
-constexpr double QuarantineSeconds = 10; ///< Retry-After of a request that crashes endpoints.
-/** An answer about credit is awaited this long before the gateway counts as out of touch with the leader. */
-constexpr auto CreditWait = 80 * kj::MILLISECONDS;
-/** After a question about credit was lost, the gateway goes on with its own share for this long. */
-constexpr Duration CreditPause = std::chrono::milliseconds(100);
-/** Requests of programs under way wait this long for the rate before they are refused; out of touch with the leader,
- * all do. */
-constexpr Duration ShareWait = std::chrono::milliseconds(500);
-/** A new program with less time left than this many target latencies of its route can hardly end in time. */
-constexpr int LeastProgramTargets = 2;
-constexpr auto LookDelay = 20 * kj::MILLISECONDS;
-/** History members are asked for this long at most before a turn is refused. */
-constexpr Duration HistoryWait = std::chrono::milliseconds(1600);
-/** For a request that a caller sent just before its list of gateways ran out. */
-constexpr Duration StopMargin = std::chrono::milliseconds(200);
-/** Left of the grace before the kill when a stop ends with requests under way. */
-constexpr Duration StopReserve = std::chrono::milliseconds(600);
-/** Claims of tokens are kept this much longer than the turns of their route. */
-constexpr std::uint64_t ClaimExtraMs = 60000;
+constexpr double ShortRetryAfterSeconds = 0.2; ///< Used if a gateway or history member is expected to be ready soon.
+constexpr double QuarantineRetryAfterSeconds = 10; ///< Used for quarantined requests, which crash endpoints.
+/** After this long without a reply to a credit request the leader is considered unreachable. */
+constexpr auto CreditReplyTimeout = 80 * kj::MILLISECONDS;
+/** After a failed credit request the gateway uses its own share of the rate for this long. */
+constexpr Duration CreditFailureBackoff = std::chrono::milliseconds(100);
+/** Requests that don't start a program wait this long for the rate limit before they are rejected. While the leader is
+ * unreachable, all requests do. */
+constexpr Duration MaxRateWait = std::chrono::milliseconds(500);
+/** A new program whose time left is less than this many target latencies of its route is unlikely to meet its deadline.
+ */
+constexpr int MinTargetLatenciesLeft = 2;
+constexpr auto PollInterval = 20 * kj::MILLISECONDS;
+/** A turn is rejected if the history members don't reply within this time. */
+constexpr Duration HistoryTimeout = std::chrono::milliseconds(1600);
+/** Allows for the transmission of requests that clients send just before their list of gateways expires. */
+constexpr Duration StopArrivalMargin = std::chrono::milliseconds(200);
+/** A graceful shutdown with active requests ends this long before the grace period does. */
+constexpr Duration StopKillMargin = std::chrono::milliseconds(600);
+/** Token claims are stored this much longer than the turns of their route. */
+constexpr std::uint64_t ClaimExtraRetentionMs = 60000;
 
 std::string formatSeconds(double seconds)
 {
@@ -56,7 +58,7 @@
 ProgramClaim TokenSettlement::settle()
 {
     ProgramClaim settled = std::exchange(this->claim, {});
-    settled.claim.tokens = this->handed;
+    settled.claim.tokens = this->deliveredTokens;
     settled.claim.settled = true;
     return settled;
 }
@@ -68,23 +70,23 @@
     }
 }
 
-Gateway::Gateway(ControlLoop &loop, DeploymentWatcher &watcher, const CallDialect &dialect,
+Gateway::Gateway(ControlLoop &loop, DeploymentWatcher &watcher, const HeaderCodec &headerCodec,
     ConfigurationReader readConfiguration, GatewaySettings settings)
     : loop(loop)
     , watcher(watcher)
-    , dialect(dialect)
-    , readDocument(std::move(readConfiguration))
+    , headerCodec(headerCodec)
+    , configurationReader(std::move(readConfiguration))
     , settings(std::move(settings))
-    , links(loop)
+    , connections(loop)
     , history(loop, watcher, this->settings.dataCentre)
 {
 }
 
-void Gateway::followUpdate(std::uint32_t parts)
+void Gateway::applyUpdate(std::uint32_t parts)
 {
     const DeploymentView &view = this->watcher.view;
     if (hasPart(parts, UpdatePart::Configuration)) {
-        const Result<ConfigurationPtr> read = this->readDocument(view.document);
+        const Result<ConfigurationPtr> read = this->configurationReader(view.document);
         if (!read) {
             logEvent(EventKind::ChildFailed, {{"child", "configuration"}, {"error", errorText(read.error())}});
         } else if (this->configuration == nullptr || (*read)->version > this->configuration->version) {
@@ -96,10 +98,10 @@
         }
     }
     if (hasPart(parts, UpdatePart::Endpoints)) {
-        this->board.setList(view.endpoints);
+        this->loadBalancer.setEndpoints(view.endpoints);
     }
     if (hasPart(parts, UpdatePart::Instances)) {
-        this->gateways = static_cast<std::size_t>(
+        this->gatewayCount = static_cast<std::size_t>(
             std::count_if(view.instances.begin(), view.instances.end(), [](const InstanceFacts &one) {
                 return one.role == Wire::InstanceRole::GATEWAY;
             }));
@@ -119,10 +121,10 @@
     return limits;
 }
 
-bool Gateway::isStopDone(Duration since, std::size_t underWay, Duration grace)
+bool Gateway::isShutdownDone(Duration elapsed, std::size_t activeRequests, Duration grace)
 {
-    const Duration callersCome = gatewayListLife(grace) * ListLifeOverrun + StopMargin;
-    return (since >= callersCome && underWay == 0) || since >= grace - StopReserve;
+    const Duration arrivalPeriod = gatewayListLife(grace) * ListLifeOverrun + StopArrivalMargin;
+    return (elapsed >= arrivalPeriod && activeRequests == 0) || elapsed >= grace - StopKillMargin;
 }
 
 std::vector<EndpointStrike> Gateway::takeStrikes()
@@ -130,26 +132,26 @@
     return std::exchange(this->strikes, {});
 }
 
-void Gateway::answer(kj::WaitScope &scope, HttpExchange &exchange)
+void Gateway::handleRequest(kj::WaitScope &scope, HttpExchange &exchange)
 {
     Call call(exchange);
     while (this->configuration == nullptr && this->now() - exchange.received < ConfigurationWait) {
-        this->loop.kjTimer().afterDelay(LookDelay).wait(scope);
+        this->loop.kjTimer().afterDelay(PollInterval).wait(scope);
     }
     call.configuration = this->configuration;
     exchange.closeAfterResponse = exchange.closeAfterResponse || this->draining;
-    if (this->admit(scope, call) && this->beginTurn(scope, call) && this->admitRate(scope, call)) {
-        this->run(scope, call);
+    if (this->admit(scope, call) && this->beginTurn(scope, call) && this->applyRateLimit(scope, call)) {
+        this->runAtEndpoints(scope, call);
     }
 }
 
-void Gateway::refuse(
+void Gateway::reject(
     kj::WaitScope &scope, Call &call, unsigned status, std::string_view reason, double retryAfterSeconds)
 {
     logEvent(EventKind::CallRefused,
-        {{"request", call.facts.requestId}, {"status", std::to_string(status)}, {"reason", std::string(reason)},
+        {{"request", call.metadata.requestId}, {"status", std::to_string(status)}, {"reason", std::string(reason)},
             {"route", call.route == nullptr ? "" : call.route->name},
-            {"customer", call.customer == nullptr ? "" : call.customer->name}, {"program", call.facts.program},
+            {"customer", call.customer == nullptr ? "" : call.customer->name}, {"program", call.metadata.program},
             {"configuration", std::to_string(call.configuration == nullptr ? 0 : call.configuration->version)},
             {"ms", std::to_string((this->now() - call.exchange.received).count() / 1000)}});
     HttpFields fields;
@@ -162,114 +164,116 @@
 bool Gateway::admit(kj::WaitScope &scope, Call &call)
 {
     if (call.configuration == nullptr) {
-        this->refuse(scope, call, HttpStatus::Unavailable, "no configuration is known yet", SoonSeconds);
+        this->reject(scope, call, HttpStatus::Unavailable, "no configuration is known yet", ShortRetryAfterSeconds);
         return false;
     }
-    Result<CallFacts> facts = this->dialect.readCall(call.exchange.head);
-    if (!facts) {
-        this->refuse(scope, call, HttpStatus::BadRequest, facts.error().what, 0);
+    Result<RequestMetadata> metadata = this->headerCodec.readRequestMetadata(call.exchange.head);
+    if (!metadata) {
+        this->reject(scope, call, HttpStatus::BadRequest, metadata.error().what, 0);
         return false;
     }
-    call.facts = std::move(*facts);
+    call.metadata = std::move(*metadata);
     const std::string *host = call.exchange.head.fields.find("Host");
     call.route = host == nullptr ? nullptr : call.configuration->findRoute(*host, call.exchange.head.path());
     if (call.route == nullptr) {
-        this->refuse(scope, call, HttpStatus::NotFound, "no route", 0);
+        this->reject(scope, call, HttpStatus::NotFound, "no route", 0);
         return false;
     }
     if (!call.configuration->customers.empty()) {
-        call.customer = call.configuration->findCustomer(call.facts.key);
+        call.customer = call.configuration->findCustomer(call.metadata.key);
         if (call.customer == nullptr && !call.route->isOpen) {
-            this->refuse(scope, call, HttpStatus::Unauthorized, "unknown key", 0);
+            this->reject(scope, call, HttpStatus::Unauthorized, "unknown key", 0);
             return false;
         }
     }
-    call.until =
-        call.exchange.received + std::min(call.facts.timeLeft.value_or(call.route->timeout), call.route->timeout);
+    call.deadline =
+        call.exchange.received + std::min(call.metadata.timeLeft.value_or(call.route->timeout), call.route->timeout);
     const std::string customer = call.customer == nullptr ? std::string() : call.customer->name;
     logEvent(EventKind::CallAccepted,
-        {{"request", call.facts.requestId}, {"route", call.route->name}, {"customer", customer},
-            {"program", call.facts.program}, {"session", call.facts.session}, {"previous", call.facts.previousTurn},
-            {"prompt_tokens", std::to_string(call.facts.promptTokens)},
-            {"output_tokens", std::to_string(call.facts.outputTokens)},
-            {"prompt_parts", std::to_string(call.facts.promptParts)},
-            {"program_ms", std::to_string(call.facts.programTimeLeft.value_or(Milliseconds(0)).count())},
+        {{"request", call.metadata.requestId}, {"route", call.route->name}, {"customer", customer},
+            {"program", call.metadata.program}, {"session", call.metadata.session},
+            {"previous", call.metadata.previousTurn}, {"prompt_tokens", std::to_string(call.metadata.promptTokens)},
+            {"output_tokens", std::to_string(call.metadata.outputTokens)},
+            {"prompt_parts", std::to_string(call.metadata.promptParts)},
+            {"program_ms", std::to_string(call.metadata.programTimeLeft.value_or(Milliseconds(0)).count())},
             {"configuration", std::to_string(call.configuration->version)}});
     call.fingerprint = hash64(call.exchange.body, hash64(call.exchange.head.target, hash64(customer)));
     if (this->watcher.view.quarantine.contains(call.fingerprint)) {
-        this->refuse(scope, call, HttpStatus::Unavailable, "the request crashes endpoints", QuarantineSeconds);
+        this->reject(
+            scope, call, HttpStatus::Unavailable, "the request crashes endpoints", QuarantineRetryAfterSeconds);
         return false;
     }
     return true;
 }
 
-void Gateway::startCreditFetch()
+void Gateway::startCreditRequest()
 {
-    if (this->creditFetch != nullptr || !this->watcher.isInTouch()) {
+    if (this->pendingCreditRequest != nullptr || !this->watcher.isInTouch()) {
         return;
     }
-    auto asked = this->credit.creditRequests(this->now());
+    auto asked = this->rateLimiter.creditRequests(this->now());
     if (asked.empty()) {
         return;
     }
-    auto answered = kj::evalNow([&]() {
+    auto reply = kj::evalNow([&]() {
         return this->watcher.askCredit(asked);
     });
-    auto fetch = answered
+    auto fetch = reply
                      .then(
                          [this, asked](std::map<std::string, std::uint32_t> &&granted) {
-                             this->credit.grant(this->now(), asked, granted);
+                             this->rateLimiter.grant(this->now(), asked, granted);
                          },
                          [this, asked](kj::Exception &&exception) {
-                             this->credit.lost(asked);
-                             this->creditPausedUntil = this->now() + CreditPause;
+                             this->rateLimiter.requestFailed(asked);
+                             this->creditRetryAt = this->now() + CreditFailureBackoff;
                              logEvent(EventKind::FreshnessLost,
                                  {{"what", "credit"}, {"error", exception.getDescription().cStr()}});
                          })
                      .then([this]() {
-                         this->creditFetch = nullptr;
+                         this->pendingCreditRequest = nullptr;
                      })
                      .fork();
     this->loop.detach(fetch.addBranch());
-    this->creditFetch = kj::mv(fetch);
+    this->pendingCreditRequest = kj::mv(fetch);
 }
 
-bool Gateway::admitRate(kj::WaitScope &scope, Call &call)
+bool Gateway::applyRateLimit(kj::WaitScope &scope, Call &call)
 {
     if (call.customer == nullptr) {
         return true;
     }
-    CreditClass use = CreditClass::Ongoing;
+    CreditClass creditClass = CreditClass::Ongoing;
     if (call.isNewProgram) {
-        const bool isLate =
-            this->programTimeLeft(call).value_or(Milliseconds::max()) < call.route->targetLatency * LeastProgramTargets;
-        use = isLate ? CreditClass::LateNewProgram : CreditClass::NewProgram;
+        const bool isLate = this->programTimeLeft(call).value_or(Milliseconds::max())
+            < call.route->targetLatency * MinTargetLatenciesLeft;
+        creditClass = isLate ? CreditClass::LateNewProgram : CreditClass::NewProgram;
     }
     while (true) {
-        const bool inTouch = this->watcher.isInTouch() && this->now() >= this->creditPausedUntil;
-        switch (this->credit.take(this->now(), *call.customer, use, inTouch, this->gateways)) {
+        const bool leaderReachable = this->watcher.isInTouch() && this->now() >= this->creditRetryAt;
+        switch (this->rateLimiter.take(this->now(), *call.customer, creditClass, leaderReachable, this->gatewayCount)) {
         case CreditDecision::Admitted:
-            this->startCreditFetch();
+            this->startCreditRequest();
             return true;
         case CreditDecision::Refused:
-            if ((!inTouch || !call.isNewProgram)
-                && this->now() < std::min(call.exchange.received + ShareWait, call.until)) {
-                this->loop.kjTimer().afterDelay(LookDelay).wait(scope);
+            if ((!leaderReachable || !call.isNewProgram)
+                && this->now() < std::min(call.exchange.received + MaxRateWait, call.deadline)) {
+                this->loop.kjTimer().afterDelay(PollInterval).wait(scope);
                 continue;
             }
-            this->refuse(scope, call, HttpStatus::TooManyRequests,
-                inTouch ? "over the rate" : "over the rate, out of touch",
+            this->reject(scope, call, HttpStatus::TooManyRequests,
+                leaderReachable ? "over the rate" : "over the rate, out of touch",
                 RateLimiter::retryAfterSeconds(*call.customer));
             return false;
         case CreditDecision::AwaitCredit:
             break;
         }
-        this->startCreditFetch();
-        kj::Promise<void> fetched = this->loop.kjTimer().afterDelay(LookDelay);
-        KJ_IF_MAYBE (fetch, this->creditFetch) {
-            fetched = fetch->addBranch().exclusiveJoin(this->loop.kjTimer().afterDelay(CreditWait).then([this]() {
-                this->creditPausedUntil = this->now() + CreditPause;
-            }));
+        this->startCreditRequest();
+        kj::Promise<void> fetched = this->loop.kjTimer().afterDelay(PollInterval);
+        KJ_IF_MAYBE (fetch, this->pendingCreditRequest) {
+            fetched =
+                fetch->addBranch().exclusiveJoin(this->loop.kjTimer().afterDelay(CreditReplyTimeout).then([this]() {
+                    this->creditRetryAt = this->now() + CreditFailureBackoff;
+                }));
         }
         fetched.wait(scope);
     }
@@ -278,36 +282,36 @@
 bool Gateway::beginTurn(kj::WaitScope &scope, Call &call)
 {
     const RouteRule &route = *call.route;
-    const bool isTurn = route.kind == RouteKind::Stream && !call.facts.program.empty();
-    if (!isTurn) {
+    const bool isProgramTurn = route.kind == RouteKind::Stream && !call.metadata.program.empty();
+    if (!isProgramTurn) {
         return true;
     }
     TurnStart start;
     start.customer = call.customer == nullptr ? std::string() : call.customer->name;
-    start.previous = route.keepsTurns ? call.facts.previousTurn : std::string();
+    start.previous = route.keepsTurns ? call.metadata.previousTurn : std::string();
     const auto now = static_cast<std::uint64_t>(wallMsNow());
     call.retentionMs = static_cast<std::uint64_t>(route.retention.count() * 1000);
-    if (call.facts.programTokens) {
-        start.budget = *call.facts.programTokens;
-        start.claim.program = start.customer + "/" + call.facts.program;
-        start.claim.claim = TokenClaim{call.facts.requestId, call.facts.outputTokens, false};
-        start.claim.expiresMs = now + call.retentionMs + ClaimExtraMs;
+    if (call.metadata.programTokens) {
+        start.budget = *call.metadata.programTokens;
+        start.claim.program = start.customer + "/" + call.metadata.program;
+        start.claim.claim = TokenClaim{call.metadata.requestId, call.metadata.outputTokens, false};
+        start.claim.expiresMs = now + call.retentionMs + ClaimExtraRetentionMs;
     }
     if (start.previous.empty() && start.claim.program.empty()) {
         return true;
     }
     call.settlement = std::make_unique<TokenSettlement>(this->history, start.claim);
-    auto begun = this->history.begin(scope, start, std::min(call.until, this->now() + HistoryWait));
+    auto begun = this->history.begin(scope, start, std::min(call.deadline, this->now() + HistoryTimeout));
     if (!begun) {
         const unsigned status = static_cast<unsigned>(errorRow(begun.error().kind).httpStatus);
-        this->refuse(
-            scope, call, status, errorText(begun.error()), begun.error().kind == ErrorKind::NotReady ? SoonSeconds : 0);
+        this->reject(scope, call, status, errorText(begun.error()),
+            begun.error().kind == ErrorKind::NotReady ? ShortRetryAfterSeconds : 0);
         return false;
     }
     call.isNewProgram = begun->isFirst && start.previous.empty();
     for (const auto &turn : begun->chain) {
-        call.prefix += turn->input;
-        call.prefix += turn->output;
+        call.historyPrefix += turn->input;
+        call.historyPrefix += turn->output;
     }
     return true;
 }
--- a/src/gateway/gateway_base.h
+++ b/src/gateway/gateway_base.h
@@ -1,5 +1,5 @@
-/** @file gateway_base.h  Serves callers: admits a request, finds what it continues, runs it at an endpoint and answers.
- * It keeps nothing that a caller needs; any gateway serves any request. */
+/** @file gateway_base.h  Handles client requests: admits a request, loads the turns that it continues, forwards it to
+ * an endpoint and relays the response. Gateways hold no client state, so any gateway can serve any request. */
 #pragma once
 
 #include <cstdint>
@@ -11,10 +11,10 @@
 #include "core/timer_base.h"
 #include "deployment/deployment_member_base.h"
 #include "deployment/deployment_watcher_base.h"
-#include "gateway/call_dialect_type.h"
-#include "gateway/endpoint_board_base.h"
-#include "gateway/endpoint_link_base.h"
+#include "gateway/connection_pool_base.h"
 #include "gateway/event_split_func.h"
+#include "gateway/header_codec_type.h"
+#include "gateway/load_balancer_base.h"
 #include "gateway/rate_limiter_base.h"
 #include "history/history_client_base.h"
 #include "http/http_server_base.h"
@@ -24,10 +24,11 @@
 
 struct GatewaySettings
 {
-    std::string dataCentre; ///< Of this instance.
+    std::string dataCentre; ///< Data centre of this instance.
 };
 
-/** Tokens claimed for a turn; settled when this ends, with what the caller was handed. */
+/** Settles the token claim of a turn, at the latest on destruction, with the number of tokens delivered to the client.
+ */
 class TokenSettlement
 {
 public:
@@ -36,97 +37,98 @@
     TokenSettlement &operator=(const TokenSettlement &) = delete;
     ~TokenSettlement();
 
-    void addHanded(std::uint32_t tokens)
+    void addDeliveredTokens(std::uint32_t tokens)
     {
-        this->handed += tokens;
+        this->deliveredTokens += tokens;
     }
-    /** The settled claim, for a write of its own; nothing more is written at the end. */
+    /** Returns the settled claim for the caller to write. The destructor then writes nothing. */
     [[nodiscard]] ProgramClaim settle();
 
 private:
-    HistoryClient &history; ///< Outlives this.
-    ProgramClaim claim; ///< As claimed; no program where there is nothing to settle.
-    std::uint32_t handed = 0; ///< Tokens that the caller was handed.
+    HistoryClient &history; ///< Must outlive this object.
+    ProgramClaim claim; ///< The open claim; its program is empty if there is nothing to settle.
+    std::uint32_t deliveredTokens = 0; ///< Tokens delivered to the client so far.
 };
 
-/** For the control thread. */
+/** Must be used on the control thread only. */
 class Gateway
 {
 public:
-    Gateway(ControlLoop &loop, DeploymentWatcher &watcher, const CallDialect &dialect,
+    Gateway(ControlLoop &loop, DeploymentWatcher &watcher, const HeaderCodec &headerCodec,
         ConfigurationReader readConfiguration, GatewaySettings settings);
 
-    /** To be called after each update of the watcher. */
-    void followUpdate(std::uint32_t parts);
-    /** Answers one request of a caller. */
-    void answer(kj::WaitScope &scope, HttpExchange &exchange);
+    /** Must be called after each update of the watcher, with the parts that changed. */
+    void applyUpdate(std::uint32_t parts);
+    /** Handles a client request and sends its response. */
+    void handleRequest(kj::WaitScope &scope, HttpExchange &exchange);
 
     [[nodiscard]] bool isReady() const
     {
         return this->configuration != nullptr && !this->draining;
     }
     [[nodiscard]] HttpLimits limits() const;
-    /** Whether a planned stop that began @p since ago may end: no request is under way any more and callers have had
-     * time to learn of it, or the @p grace before the process is killed is nearly over. */
-    [[nodiscard]] static bool isStopDone(Duration since, std::size_t underWay, Duration grace);
-    /** Takes no new callers from now on; those that come are served. */
+    /** Whether a graceful shutdown that started @p elapsed ago may finish: either no request is active and clients have
+     * had time to notice it, or the @p grace period, after which the process is killed, is nearly over. */
+    [[nodiscard]] static bool isShutdownDone(Duration elapsed, std::size_t activeRequests, Duration grace);
+    /** Reports this gateway as not ready from now on. Requests that still arrive are served. */
     void drain()
     {
         this->draining = true;
     }
-    /** Requests that were under way at endpoints that went down since the last call. */
+    /** Returns the strikes since the last call. A strike names a request that was in flight at an endpoint when the
+     * endpoint went down. */
     [[nodiscard]] std::vector<EndpointStrike> takeStrikes();
 
 private:
-    /** One request on its way. */
+    /** State of a request while it is handled. */
     struct Call;
 
-    /** How an attempt at an endpoint ended. */
-    enum class AttemptEnd : std::uint8_t {
-        Delivered, ///< The caller has the answer.
-        NotRun, ///< The endpoint did not run it and never will.
-        Failed, ///< It may have run; the caller has nothing yet, or a stream up to some event.
-        TimedOut, ///< As Failed, since the time ran out.
+    /** Result of an attempt at an endpoint. */
+    enum class AttemptResult : std::uint8_t {
+        Delivered, ///< The response was sent to the client.
+        NotExecuted, ///< The endpoint did not execute the request and never will.
+        Failed, ///< The request may have been executed. The client has received nothing, or part of a stream.
+        TimedOut, ///< Like Failed, because of a timeout.
     };
 
     [[nodiscard]] bool admit(kj::WaitScope &scope, Call &call);
-    [[nodiscard]] bool admitRate(kj::WaitScope &scope, Call &call);
+    [[nodiscard]] bool applyRateLimit(kj::WaitScope &scope, Call &call);
     [[nodiscard]] bool beginTurn(kj::WaitScope &scope, Call &call);
-    void run(kj::WaitScope &scope, Call &call);
-    [[nodiscard]] AttemptEnd attempt(kj::WaitScope &scope, Call &call, const DeployedEndpoint &endpoint);
-    [[nodiscard]] AttemptEnd exchangeWith(
+    void runAtEndpoints(kj::WaitScope &scope, Call &call);
+    [[nodiscard]] AttemptResult attempt(kj::WaitScope &scope, Call &call, const DeployedEndpoint &endpoint);
+    [[nodiscard]] AttemptResult sendAndReceive(
         kj::WaitScope &scope, Call &call, const DeployedEndpoint &endpoint, EndpointConnection &connection);
-    [[nodiscard]] AttemptEnd deliverWhole(
+    [[nodiscard]] AttemptResult relayResponse(
         kj::WaitScope &scope, Call &call, HttpResponseReader &reader, const ResponseHead &head);
-    [[nodiscard]] AttemptEnd deliverStream(
+    [[nodiscard]] AttemptResult relayStream(
         kj::WaitScope &scope, Call &call, HttpResponseReader &reader, const ResponseHead &head);
     void finishStream(kj::WaitScope &scope, Call &call);
     [[nodiscard]] std::optional<Milliseconds> programTimeLeft(const Call &call) const;
-    [[nodiscard]] std::string forwardBytes(const Call &call, const DeployedEndpoint &endpoint) const;
+    [[nodiscard]] std::string serializeRequest(const Call &call, const DeployedEndpoint &endpoint) const;
 
-    /** Notes a strike where the endpoint doesn't accept connections any more. */
-    void noteStrikeIfDown(std::uint64_t fingerprint, const DeployedEndpoint &endpoint);
-    void refuse(kj::WaitScope &scope, Call &call, unsigned status, std::string_view reason, double retryAfterSeconds);
-    void startCreditFetch();
+    /** Records a strike if the endpoint no longer accepts connections. */
+    void recordStrikeIfDown(std::uint64_t fingerprint, const DeployedEndpoint &endpoint);
+    void reject(kj::WaitScope &scope, Call &call, unsigned status, std::string_view reason, double retryAfterSeconds);
+    void startCreditRequest();
     [[nodiscard]] Instant now() const
     {
         return this->loop.timers().now();
     }
 
-    ControlLoop &loop; ///< Outlives this.
-    DeploymentWatcher &watcher; ///< Outlives this.
-    const CallDialect &dialect; ///< Outlives this.
-    ConfigurationReader readDocument; ///< Decodes a configuration.
-    GatewaySettings settings; ///< As given.
-    ConfigurationPtr configuration; ///< In force; null before the first. Its version never falls.
-    EndpointBoard board; ///< Endpoints and their load.
-    EndpointLinks links; ///< Connections to endpoints.
-    HistoryClient history; ///< Kept turns and budgets.
-    RateLimiter credit; ///< Rates of the customers.
-    std::size_t gateways = 0; ///< That live, this one with them; 0 before it is known.
-    kj::Maybe<kj::ForkedPromise<void>> creditFetch; ///< The question to the leader that is under way.
-    Instant creditPausedUntil{0}; ///< The leader didn't answer; it isn't asked before.
-    std::vector<EndpointStrike> strikes; ///< To be reported.
+    ControlLoop &loop; ///< Must outlive this object.
+    DeploymentWatcher &watcher; ///< Must outlive this object.
+    const HeaderCodec &headerCodec; ///< Must outlive this object.
+    ConfigurationReader configurationReader; ///< Decodes configuration documents.
+    GatewaySettings settings;
+    ConfigurationPtr configuration; ///< Configuration in force; null before the first one. Its version never decreases.
+    LoadBalancer loadBalancer; ///< Selects endpoints.
+    ConnectionPool connections; ///< Connections to endpoints.
+    HistoryClient history; ///< Stored turns and token budgets.
+    RateLimiter rateLimiter; ///< Enforces the customers' rates.
+    std::size_t gatewayCount = 0; ///< Number of live gateways including this one; 0 if not known yet.
+    kj::Maybe<kj::ForkedPromise<void>> pendingCreditRequest; ///< Credit request to the leader that is in flight.
+    Instant creditRetryAt{0}; ///< After a failed credit request, the leader is considered unreachable until then.
+    std::vector<EndpointStrike> strikes; ///< Not reported yet.
     bool draining = false; ///< See `drain`.
 };
 
--- a/src/gateway/gateway_call_internal.h
+++ b/src/gateway/gateway_call_internal.h
@@ -1,4 +1,4 @@
-/** @file gateway_call_internal.h  One request on its way through a gateway. */
+/** @file gateway_call_internal.h  State of a client request while a gateway handles it. */
 #pragma once
 
 #include <memory>
@@ -16,23 +16,23 @@
     {
     }
 
-    HttpExchange &exchange; ///< The request and its answer.
-    ConfigurationPtr configuration; ///< Under which it is served.
-    CallFacts facts; ///< What the caller says.
-    const RouteRule *route = nullptr; ///< In `configuration`.
-    const CustomerRule *customer = nullptr; ///< In `configuration`; null on open routes without a key.
-    Instant until{0}; ///< When a final answer is due.
-    std::uint64_t fingerprint = 0; ///< Of customer, target and body.
-    bool isNewProgram = false; ///< The first turn of its program.
-    std::string prefix; ///< Inputs and outputs of the turns that it continues.
-    std::uint64_t retentionMs = 0; ///< How long its turn is kept.
-    std::unique_ptr<TokenSettlement> settlement; ///< Of its tokens; null where it has no budget.
+    HttpExchange &exchange; ///< The HTTP request and response.
+    ConfigurationPtr configuration; ///< Configuration in force when the request arrived; used until the end.
+    RequestMetadata metadata; ///< Decoded header fields of the request.
+    const RouteRule *route = nullptr; ///< Points into `configuration`.
+    const CustomerRule *customer = nullptr; ///< Points into `configuration`; null on open routes without a key.
+    Instant deadline{0}; ///< When the response is due.
+    std::uint64_t fingerprint = 0; ///< Hash of customer, target and body.
+    bool isNewProgram = false; ///< This is the first turn of its program.
+    std::string historyPrefix; ///< Inputs and outputs of the turns that the request continues.
+    std::uint64_t retentionMs = 0; ///< How long the turn is stored.
+    std::unique_ptr<TokenSettlement> settlement; ///< Settles the turn's token claim; null if there is none.
 
-    std::string output; ///< Data of the events so far, for the history.
-    std::string lastEventId; ///< Of the last event that the caller has.
-    unsigned events = 0; ///< That the caller has.
-    unsigned tokensPerEvent = 1; ///< Of the service.
-    unsigned runs = 0; ///< Attempts that may have run.
+    std::string output; ///< Data of all events so far, stored in the history as the turn's output.
+    std::string lastEventId; ///< Id of the last event sent to the client.
+    unsigned deliveredEvents = 0; ///< Number of events sent to the client.
+    unsigned tokensPerEvent = 1; ///< Tokens in each event of the selected service.
+    unsigned executedAttempts = 0; ///< Attempts that may have been executed by an endpoint.
 };
 
 } // namespace Chestnuthook
--- a/src/gateway/gateway_run.cpp
+++ b/src/gateway/gateway_run.cpp
@@ -1,11 +1,11 @@
-/** @file gateway_run.cpp  Running a request at endpoints, and delivery of the answer. */
+/** @file gateway_run.cpp  Forwards a client request to endpoints, with retries, and relays the response. */
 #include <algorithm>
 #include <utility>
 
 #include "core/hash_func.h"
-#include "gateway/call_urgency_func.h"
 #include "gateway/gateway_base.h"
 #include "gateway/gateway_call_internal.h"
+#include "gateway/request_priority_func.h"
 #include "observe/log_func.h"
 
 namespace Chestnuthook
@@ -14,28 +14,28 @@
 namespace
 {
 
-/** Endpoints that a request is offered to before it is refused. */
-constexpr unsigned MostOffers = 4;
-constexpr double BusySeconds = 0.25; ///< Retry-After where all endpoints refused.
-/** Time for a new connection; endpoints that don't accept in it are down or cut off. */
-constexpr Duration ConnectLimit = std::chrono::milliseconds(150);
-/** Time for the writing of a turn to the history after its stream has ended. */
-constexpr Duration KeepWait = std::chrono::milliseconds(1500);
-/** Least time in which an endpoint can still be of use. */
-constexpr Duration LeastUsefulTime = std::chrono::milliseconds(5);
+/** Maximum number of endpoints that are tried before a request is rejected. */
+constexpr unsigned MaxEndpointTries = 4;
+constexpr double BusyRetryAfterSeconds = 0.25; ///< Used if all endpoints refused the request.
+/** An endpoint that doesn't accept a connection within this time is considered down or unreachable. */
+constexpr Duration ConnectTimeout = std::chrono::milliseconds(150);
+/** Maximum time for writing a turn to the history after its stream has ended. */
+constexpr Duration HistoryWriteTimeout = std::chrono::milliseconds(1500);
+/** Requests with less time left are not sent to an endpoint. */
+constexpr Duration MinUsefulTime = std::chrono::milliseconds(5);
 
-constexpr std::size_t ProbeStackBytes = 128U << 10U; ///< Of a fiber that only connects.
-/** A request that may run again is given up at one endpoint after this many times its target latency. */
-constexpr int TryTargets = 3;
-constexpr Duration LeastTry = std::chrono::milliseconds(200);
+constexpr std::size_t ProbeStackBytes = 128U << 10U; ///< Stack size of a fiber that only opens a connection.
+/** Timeout of an attempt that can be retried at another endpoint, as a multiple of the route's target latency. */
+constexpr int AttemptTimeoutTargetLatencies = 3;
+constexpr Duration MinAttemptTimeout = std::chrono::milliseconds(200);
 
 bool isSuccess(unsigned status)
 {
     return status >= 200 && status < 300;
 }
 
-/** Reads what is left of a body that nobody wants. @return whether it was whole. */
-bool skipBody(kj::WaitScope &scope, HttpResponseReader &reader)
+/** Reads and discards the rest of a body. @return whether the body was complete. */
+bool discardBody(kj::WaitScope &scope, HttpResponseReader &reader)
 {
     std::string skipped;
     return reader.readBody(scope, skipped) == HttpReadResult::Done;
@@ -50,248 +50,254 @@
 
 std::optional<Milliseconds> Gateway::programTimeLeft(const Call &call) const
 {
-    if (!call.facts.programTimeLeft) {
+    if (!call.metadata.programTimeLeft) {
         return std::nullopt;
     }
-    return *call.facts.programTimeLeft - toMs(this->now() - call.exchange.received);
+    return *call.metadata.programTimeLeft - toMs(this->now() - call.exchange.received);
 }
 
-std::string Gateway::forwardBytes(const Call &call, const DeployedEndpoint &endpoint) const
+std::string Gateway::serializeRequest(const Call &call, const DeployedEndpoint &endpoint) const
 {
-    ForwardFacts facts;
-    facts.timeLeft = toMs(call.until - this->now());
-    facts.endpointId = endpoint.id;
-    facts.customer = call.customer == nullptr ? std::string() : call.customer->name;
-    facts.lastEventId = call.lastEventId.empty() ? call.facts.lastEventId : call.lastEventId;
+    ForwardingMetadata metadata;
+    metadata.timeLeft = toMs(call.deadline - this->now());
+    metadata.endpointId = endpoint.id;
+    metadata.customer = call.customer == nullptr ? std::string() : call.customer->name;
+    metadata.lastEventId = call.lastEventId.empty() ? call.metadata.lastEventId : call.lastEventId;
     const bool hasOwnPriority = call.customer != nullptr && call.customer->priority >= 0;
     const int priority = hasOwnPriority ? call.customer->priority : call.route->priority;
-    facts.urgency = callUrgency({priority, call.route->kind == RouteKind::Stream, this->programTimeLeft(call)});
-    facts.bodyBytes = call.prefix.size() + call.exchange.body.size();
-    facts.hasBody = facts.bodyBytes != 0 || call.exchange.head.fields.find("Content-Length") != nullptr;
-    return formatHead(this->dialect.forwardHead(call.exchange.head, facts)) + call.prefix + call.exchange.body;
+    metadata.priority = requestPriority({priority, call.route->kind == RouteKind::Stream, this->programTimeLeft(call)});
+    metadata.bodyBytes = call.historyPrefix.size() + call.exchange.body.size();
+    metadata.hasBody = metadata.bodyBytes != 0 || call.exchange.head.fields.find("Content-Length") != nullptr;
+    return formatHead(this->headerCodec.endpointRequestHead(call.exchange.head, metadata)) + call.historyPrefix
+        + call.exchange.body;
 }
 
-void Gateway::run(kj::WaitScope &scope, Call &call)
+void Gateway::runAtEndpoints(kj::WaitScope &scope, Call &call)
 {
     const RouteRule &route = *call.route;
-    PlacementWish wish;
-    std::uint64_t weights = 0;
+    SelectionCriteria criteria;
+    std::uint64_t totalWeight = 0;
     for (const RouteTarget &target : route.targets) {
-        weights += target.weight;
+        totalWeight += target.weight;
     }
-    std::uint64_t point = hash64(call.facts.requestId) % weights;
+    std::uint64_t weightOffset = hash64(call.metadata.requestId) % totalWeight;
     for (const RouteTarget &target : route.targets) {
-        if (point < target.weight) {
-            wish.service = target.service;
+        if (weightOffset < target.weight) {
+            criteria.service = target.service;
             break;
         }
-        point -= target.weight;
+        weightOffset -= target.weight;
     }
-    const ServiceRule &service = call.configuration->services.at(wish.service);
+    const ServiceRule &service = call.configuration->services.at(criteria.service);
     if (service.engine) {
         call.tokensPerEvent = service.engine->tokensPerEvent;
-        const std::string &line = call.facts.program.empty() ? call.facts.requestId : call.facts.program;
-        wish.affinity = std::max<std::uint64_t>(hash64(line), 1);
+        const std::string &affinityKey =
+            call.metadata.program.empty() ? call.metadata.requestId : call.metadata.program;
+        criteria.affinity = std::max<std::uint64_t>(hash64(affinityKey), 1);
     }
-    wish.dataCentre = this->settings.dataCentre;
-    const bool repeatable = route.kind == RouteKind::Safe || (route.kind == RouteKind::Stream && route.resumable);
+    criteria.dataCentre = this->settings.dataCentre;
+    const bool isRetryable = route.kind == RouteKind::Safe || (route.kind == RouteKind::Stream && route.resumable);
     std::set<std::string> tried;
-    unsigned offers = 0;
-    AttemptEnd last = AttemptEnd::NotRun;
-    while (call.until - this->now() > LeastUsefulTime && offers < MostOffers) {
-        const DeployedEndpoint *chosen = this->board.choose(this->now(), wish, tried);
+    unsigned endpointTries = 0;
+    AttemptResult lastResult = AttemptResult::NotExecuted;
+    while (call.deadline - this->now() > MinUsefulTime && endpointTries < MaxEndpointTries) {
+        const DeployedEndpoint *chosen = this->loadBalancer.choose(this->now(), criteria, tried);
         if (chosen == nullptr) {
             break;
         }
         const DeployedEndpoint endpoint = *chosen;
-        ++offers;
-        last = this->attempt(scope, call, endpoint);
-        if (last == AttemptEnd::Delivered) {
+        ++endpointTries;
+        lastResult = this->attempt(scope, call, endpoint);
+        if (lastResult == AttemptResult::Delivered) {
             return;
         }
         tried.insert(endpoint.id);
-        if (last == AttemptEnd::NotRun) {
+        if (lastResult == AttemptResult::NotExecuted) {
             continue;
         }
-        ++call.runs;
-        if (!repeatable || call.runs >= route.maxAttempts) {
+        ++call.executedAttempts;
+        if (!isRetryable || call.executedAttempts >= route.maxAttempts) {
             break;
         }
     }
     if (call.exchange.hasStarted()) {
         logEvent(EventKind::CallEnded,
-            {{"request", call.facts.requestId}, {"outcome", "stream cut"}, {"events", std::to_string(call.events)}});
-        return; // The connection is closed: the answer is not whole.
+            {{"request", call.metadata.requestId}, {"outcome", "stream cut"},
+                {"events", std::to_string(call.deliveredEvents)}});
+        return; // The connection is closed, which shows the client that the response is incomplete.
     }
-    if (call.runs == 0) {
-        const bool late = call.until - this->now() <= LeastUsefulTime;
-        this->refuse(scope, call, HttpStatus::Unavailable, late ? "no time is left" : "no endpoint has room",
-            late ? 0 : BusySeconds);
+    if (call.executedAttempts == 0) {
+        const bool late = call.deadline - this->now() <= MinUsefulTime;
+        this->reject(scope, call, HttpStatus::Unavailable, late ? "no time is left" : "no endpoint has room",
+            late ? 0 : BusyRetryAfterSeconds);
         return;
     }
-    const bool late = last == AttemptEnd::TimedOut;
-    this->refuse(scope, call, late ? HttpStatus::GatewayTimeout : HttpStatus::BadGateway,
+    const bool late = lastResult == AttemptResult::TimedOut;
+    this->reject(scope, call, late ? HttpStatus::GatewayTimeout : HttpStatus::BadGateway,
         late ? "the endpoint didn't answer in time" : "the endpoint failed", 0);
 }
 
-Gateway::AttemptEnd Gateway::attempt(kj::WaitScope &scope, Call &call, const DeployedEndpoint &endpoint)
+Gateway::AttemptResult Gateway::attempt(kj::WaitScope &scope, Call &call, const DeployedEndpoint &endpoint)
 {
-    auto connection = this->links.takeKept(endpoint.address);
-    const bool kept = connection != nullptr;
-    if (!kept) {
-        connection = this->links.connect(scope, endpoint.address, std::min(ConnectLimit, call.until - this->now()));
+    auto connection = this->connections.takeIdle(endpoint.address);
+    const bool reused = connection != nullptr;
+    if (!reused) {
+        connection =
+            this->connections.connect(scope, endpoint.address, std::min(ConnectTimeout, call.deadline - this->now()));
     }
     if (connection == nullptr) {
-        this->board.noteFailure(this->now(), endpoint.id);
+        this->loadBalancer.recordFailure(this->now(), endpoint.id);
         logEvent(EventKind::AttemptFailed,
-            {{"request", call.facts.requestId}, {"endpoint", endpoint.id}, {"reason", "no connection"}});
-        return AttemptEnd::NotRun;
+            {{"request", call.metadata.requestId}, {"endpoint", endpoint.id}, {"reason", "no connection"}});
+        return AttemptResult::NotExecuted;
     }
     logEvent(EventKind::CallDispatched,
-        {{"request", call.facts.requestId}, {"endpoint", endpoint.id}, {"kept", kept ? "yes" : "no"},
-            {"load", this->board.describeLoad(this->now(), endpoint.id)},
+        {{"request", call.metadata.requestId}, {"endpoint", endpoint.id}, {"kept", reused ? "yes" : "no"},
+            {"load", this->loadBalancer.describeLoad(this->now(), endpoint.id)},
             {"ms", std::to_string((this->now() - call.exchange.received).count() / 1000)}});
-    this->board.noteSent(endpoint.id);
-    KJ_DEFER(this->board.noteEnded(endpoint.id));
-    const AttemptEnd end = this->exchangeWith(scope, call, endpoint, *connection);
-    if (end == AttemptEnd::Delivered || end == AttemptEnd::NotRun) {
-        const Duration idleLimit = connection->idleLimit;
-        if (idleLimit.count() > 0) {
-            this->links.keep(endpoint.address, std::move(connection), idleLimit);
+    this->loadBalancer.recordRequestStart(endpoint.id);
+    KJ_DEFER(this->loadBalancer.recordRequestEnd(endpoint.id));
+    const AttemptResult result = this->sendAndReceive(scope, call, endpoint, *connection);
+    if (result == AttemptResult::Delivered || result == AttemptResult::NotExecuted) {
+        const Duration idleTimeout = connection->idleTimeout;
+        if (idleTimeout.count() > 0) {
+            this->connections.addIdle(endpoint.address, std::move(connection), idleTimeout);
         }
-        return end;
+        return result;
     }
-    if (end == AttemptEnd::TimedOut && call.events == 0) {
-        this->board.noteError(this->now(), endpoint.id);
+    if (result == AttemptResult::TimedOut && call.deliveredEvents == 0) {
+        this->loadBalancer.recordError(this->now(), endpoint.id);
     }
-    if (end == AttemptEnd::Failed) {
-        this->board.noteFailure(this->now(), endpoint.id);
-        this->noteStrikeIfDown(call.fingerprint, endpoint);
+    if (result == AttemptResult::Failed) {
+        this->loadBalancer.recordFailure(this->now(), endpoint.id);
+        this->recordStrikeIfDown(call.fingerprint, endpoint);
     }
     logEvent(EventKind::AttemptFailed,
-        {{"request", call.facts.requestId}, {"endpoint", endpoint.id},
-            {"reason", end == AttemptEnd::TimedOut ? "time-out" : "broken"}, {"kept", kept ? "yes" : "no"},
-            {"events", std::to_string(call.events)}});
-    return end;
+        {{"request", call.metadata.requestId}, {"endpoint", endpoint.id},
+            {"reason", result == AttemptResult::TimedOut ? "time-out" : "broken"}, {"kept", reused ? "yes" : "no"},
+            {"events", std::to_string(call.deliveredEvents)}});
+    return result;
 }
 
-void Gateway::noteStrikeIfDown(std::uint64_t fingerprint, const DeployedEndpoint &endpoint)
+void Gateway::recordStrikeIfDown(std::uint64_t fingerprint, const DeployedEndpoint &endpoint)
 {
     this->loop.detach(kj::startFiber(ProbeStackBytes, [this, fingerprint, endpoint](kj::WaitScope &scope) {
-        auto connection = this->links.connect(scope, endpoint.address, ConnectLimit);
+        auto connection = this->connections.connect(scope, endpoint.address, ConnectTimeout);
         if (connection == nullptr) {
             this->strikes.push_back({fingerprint, endpoint.id});
             return;
         }
-        this->links.keep(endpoint.address, std::move(connection), EndpointLinks::idleLimitOf(HttpFields()));
+        this->connections.addIdle(
+            endpoint.address, std::move(connection), ConnectionPool::idleTimeoutFrom(HttpFields()));
     }));
 }
 
-Gateway::AttemptEnd Gateway::exchangeWith(
+Gateway::AttemptResult Gateway::sendAndReceive(
     kj::WaitScope &scope, Call &call, const DeployedEndpoint &endpoint, EndpointConnection &connection)
 {
-    const std::string bytes = this->forwardBytes(call, endpoint);
+    const std::string bytes = this->serializeRequest(call, endpoint);
     kj::Timer &timer = this->loop.kjTimer();
-    Duration limit = call.until - this->now();
-    if (call.route->kind == RouteKind::Safe && call.runs + 1 < call.route->maxAttempts) {
-        const Duration tryLimit = std::max<Duration>(call.route->targetLatency * TryTargets, LeastTry);
-        limit = std::min(limit, std::max(tryLimit, limit / 2));
+    Duration timeout = call.deadline - this->now();
+    if (call.route->kind == RouteKind::Safe && call.executedAttempts + 1 < call.route->maxAttempts) {
+        const Duration attemptTimeout =
+            std::max<Duration>(call.route->targetLatency * AttemptTimeoutTargetLatencies, MinAttemptTimeout);
+        timeout = std::min(timeout, std::max(attemptTimeout, timeout / 2));
     }
-    const kj::TimePoint end = timer.now() + kjDuration(limit);
-    if (!connection.send(scope, timer, bytes, end)) {
-        return timer.now() >= end ? AttemptEnd::TimedOut : AttemptEnd::Failed;
+    const kj::TimePoint attemptDeadline = timer.now() + kjDuration(timeout);
+    if (!connection.send(scope, timer, bytes, attemptDeadline)) {
+        return timer.now() >= attemptDeadline ? AttemptResult::TimedOut : AttemptResult::Failed;
     }
     while (true) {
         HttpResponseReader reader(connection.input, call.exchange.head.method == "HEAD");
         ResponseHead head;
         const HttpReadResult read = reader.readHead(scope, head);
         if (read != HttpReadResult::Done) {
-            return connection.input.hasTimedOut() ? AttemptEnd::TimedOut : AttemptEnd::Failed;
+            return connection.input.hasTimedOut() ? AttemptResult::TimedOut : AttemptResult::Failed;
         }
-        const AnswerFacts facts = this->dialect.readAnswer(head);
-        if (facts.load) {
-            this->board.noteLoad(this->now(), endpoint.id, *facts.load);
+        const ResponseMetadata metadata = this->headerCodec.readResponseMetadata(head);
+        if (metadata.load) {
+            this->loadBalancer.recordLoad(this->now(), endpoint.id, *metadata.load);
         }
-        const bool isOurs = facts.requestId == call.facts.requestId;
-        if (!isOurs && !facts.notRun && head.status != HttpStatus::Misdirected) {
-            // A late answer to an earlier request.
-            if (!skipBody(scope, reader) || !head.keepAlive) {
-                return connection.input.hasTimedOut() ? AttemptEnd::TimedOut : AttemptEnd::Failed;
+        const bool isOwnResponse = metadata.requestId == call.metadata.requestId;
+        if (!isOwnResponse && !metadata.notExecuted && head.status != HttpStatus::Misdirected) {
+            // A late response to an earlier request on this connection.
+            if (!discardBody(scope, reader) || !head.keepAlive) {
+                return connection.input.hasTimedOut() ? AttemptResult::TimedOut : AttemptResult::Failed;
             }
             continue;
         }
-        if (facts.notRun || head.status == HttpStatus::Misdirected) {
+        if (metadata.notExecuted || head.status == HttpStatus::Misdirected) {
             if (head.status == HttpStatus::Misdirected) {
-                this->board.noteFailure(this->now(), endpoint.id);
+                this->loadBalancer.recordFailure(this->now(), endpoint.id);
             } else {
-                this->board.noteFull(this->now(), endpoint.id);
+                this->loadBalancer.recordOverload(this->now(), endpoint.id);
             }
             logEvent(EventKind::AttemptFailed,
-                {{"request", call.facts.requestId}, {"endpoint", endpoint.id}, {"reason", "not run"},
+                {{"request", call.metadata.requestId}, {"endpoint", endpoint.id}, {"reason", "not run"},
                     {"status", std::to_string(head.status)}});
-            if (skipBody(scope, reader) && head.keepAlive) {
-                connection.idleLimit = EndpointLinks::idleLimitOf(head.fields);
+            if (discardBody(scope, reader) && head.keepAlive) {
+                connection.idleTimeout = ConnectionPool::idleTimeoutFrom(head.fields);
             }
-            return AttemptEnd::NotRun;
+            return AttemptResult::NotExecuted;
         }
-        if (!facts.isSigned || head.fields.find("Content-Encoding") != nullptr) {
-            return AttemptEnd::Failed;
+        if (!metadata.isSigned || head.fields.find("Content-Encoding") != nullptr) {
+            return AttemptResult::Failed;
         }
-        const bool streams = call.route->kind == RouteKind::Stream && isSuccess(head.status);
-        if (!streams && call.exchange.hasStarted()) {
-            return AttemptEnd::Failed; // A stream that has begun can't become another answer.
+        const bool isStream = call.route->kind == RouteKind::Stream && isSuccess(head.status);
+        if (!isStream && call.exchange.hasStarted()) {
+            return AttemptResult::Failed; // Part of a stream has been sent, so no other response can be sent instead.
         }
-        const AttemptEnd delivered =
-            streams ? this->deliverStream(scope, call, reader, head) : this->deliverWhole(scope, call, reader, head);
-        if (delivered == AttemptEnd::Delivered) {
+        const AttemptResult result =
+            isStream ? this->relayStream(scope, call, reader, head) : this->relayResponse(scope, call, reader, head);
+        if (result == AttemptResult::Delivered) {
             if (head.status >= HttpStatus::FirstServerError) {
-                this->board.noteError(this->now(), endpoint.id);
+                this->loadBalancer.recordError(this->now(), endpoint.id);
             } else {
-                this->board.noteSuccess(this->now(), endpoint.id);
+                this->loadBalancer.recordSuccess(this->now(), endpoint.id);
             }
-            connection.idleLimit = head.keepAlive ? EndpointLinks::idleLimitOf(head.fields) : Duration(0);
+            connection.idleTimeout = head.keepAlive ? ConnectionPool::idleTimeoutFrom(head.fields) : Duration(0);
         }
-        return delivered == AttemptEnd::Failed && connection.input.hasTimedOut() ? AttemptEnd::TimedOut : delivered;
+        return result == AttemptResult::Failed && connection.input.hasTimedOut() ? AttemptResult::TimedOut : result;
     }
 }
 
-Gateway::AttemptEnd Gateway::deliverWhole(
+Gateway::AttemptResult Gateway::relayResponse(
     kj::WaitScope &scope, Call &call, HttpResponseReader &reader, const ResponseHead &head)
 {
     std::string content;
     if (reader.readBody(scope, content) != HttpReadResult::Done) {
-        return AttemptEnd::Failed;
+        return AttemptResult::Failed;
     }
-    call.exchange.respond(scope, this->dialect.answerHead(head), content);
-    logEvent(EventKind::CallEnded, {{"request", call.facts.requestId}, {"status", std::to_string(head.status)}});
-    return AttemptEnd::Delivered;
+    call.exchange.respond(scope, this->headerCodec.clientResponseHead(head), content);
+    logEvent(EventKind::CallEnded, {{"request", call.metadata.requestId}, {"status", std::to_string(head.status)}});
+    return AttemptResult::Delivered;
 }
 
-Gateway::AttemptEnd Gateway::deliverStream(
+Gateway::AttemptResult Gateway::relayStream(
     kj::WaitScope &scope, Call &call, HttpResponseReader &reader, const ResponseHead &head)
 {
     EventSplitter splitter;
     while (true) {
         std::string part;
         if (reader.readPart(scope, part) != HttpReadResult::Done) {
-            return AttemptEnd::Failed;
+            return AttemptResult::Failed;
         }
         std::vector<StreamEvent> events;
-        std::string ready = part.empty() ? splitter.rest() : splitter.take(part, events);
+        std::string ready = part.empty() ? splitter.remainder() : splitter.append(part, events);
         if (!ready.empty() || part.empty()) {
             if (!call.exchange.hasStarted()) {
                 logEvent(EventKind::CallFirstToken,
-                    {{"request", call.facts.requestId},
+                    {{"request", call.metadata.requestId},
                         {"ms", std::to_string((this->now() - call.exchange.received).count() / 1000)}});
-                call.exchange.beginStream(scope, this->dialect.answerHead(head));
+                call.exchange.beginStream(scope, this->headerCodec.clientResponseHead(head));
             }
         }
         for (const StreamEvent &event : events) {
             if (event.hasData) {
                 call.output += event.data + "\n";
-                ++call.events;
+                ++call.deliveredEvents;
                 if (call.settlement != nullptr) {
-                    call.settlement->addHanded(call.tokensPerEvent);
+                    call.settlement->addDeliveredTokens(call.tokensPerEvent);
                 }
             }
             if (!event.id.empty()) {
@@ -303,7 +309,7 @@
         }
         if (part.empty()) {
             this->finishStream(scope, call);
-            return AttemptEnd::Delivered;
+            return AttemptResult::Delivered;
         }
     }
 }
@@ -313,8 +319,8 @@
     if (call.route->keepsTurns) {
         std::vector<HistoryRecord> records;
         KeptTurn turn;
-        turn.id = call.facts.requestId;
-        turn.previous = call.facts.previousTurn;
+        turn.id = call.metadata.requestId;
+        turn.previous = call.metadata.previousTurn;
         turn.customer = call.customer == nullptr ? std::string() : call.customer->name;
         turn.input = call.exchange.body;
         turn.output = call.output;
@@ -326,15 +332,16 @@
                 records.emplace_back(std::move(settled));
             }
         }
-        const Result<void> kept = this->history.write(scope, records, this->now() + KeepWait);
+        const Result<void> kept = this->history.write(scope, records, this->now() + HistoryWriteTimeout);
         if (!kept) {
             logEvent(EventKind::CallEnded,
-                {{"request", call.facts.requestId}, {"outcome", "turn not kept"}, {"error", kept.error().what}});
-            return; // Without its end the answer doesn't count as whole.
+                {{"request", call.metadata.requestId}, {"outcome", "turn not kept"}, {"error", kept.error().what}});
+            return; // The end of the stream is not sent, so the client treats the response as incomplete.
         }
     }
     call.exchange.endStream(scope);
-    logEvent(EventKind::CallEnded, {{"request", call.facts.requestId}, {"events", std::to_string(call.events)}});
+    logEvent(
+        EventKind::CallEnded, {{"request", call.metadata.requestId}, {"events", std::to_string(call.deliveredEvents)}});
 }
 
 } // namespace Chestnuthook
--- /dev/null
+++ b/src/gateway/load_balancer_base.cpp
@@ -0,0 +1,180 @@
+/** @file load_balancer_base.cpp  Endpoint selection: rendezvous hashing with bounded loads for requests with affinity,
+ * otherwise the least loaded endpoint. */
+#include "gateway/load_balancer_base.h"
+
+#include <algorithm>
+
+#include "core/hash_func.h"
+
+namespace Chestnuthook
+{
+
+void LoadBalancer::setEndpoints(const std::vector<DeployedEndpoint> &list)
+{
+    this->idsByService.clear();
+    std::set<std::string> listed;
+    for (const DeployedEndpoint &endpoint : list) {
+        listed.insert(endpoint.id);
+        State &state = this->states[endpoint.id];
+        if (state.endpoint.address != endpoint.address) {
+            state = State();
+        }
+        state.endpoint = endpoint;
+        if (!endpoint.leaving) {
+            this->idsByService[endpoint.service].push_back(endpoint.id);
+        }
+    }
+    std::erase_if(this->states, [&listed](const auto &entry) {
+        return !listed.contains(entry.first) && entry.second.inFlight == 0;
+    });
+}
+
+bool LoadBalancer::isUsable(const std::string &id) const
+{
+    const auto state = this->states.find(id);
+    if (state == this->states.end()) {
+        return false;
+    }
+    const auto ids = this->idsByService.find(state->second.endpoint.service);
+    return ids != this->idsByService.end()
+        && std::find(ids->second.begin(), ids->second.end(), id) != ids->second.end();
+}
+
+double LoadBalancer::utilization(Instant now, const State &state)
+{
+    const double slots = std::max(1U, state.load.slots != 0 ? state.load.slots : state.endpoint.slots);
+    double load = state.inFlight;
+    if (state.loadReportedAt.us != 0 && now - state.loadReportedAt < LoadReportTtl) {
+        const double startedSince =
+            static_cast<double>(state.inFlight) - static_cast<double>(state.inFlightAtLoadReport);
+        load = std::max(load, state.load.running + state.load.waiting + startedSince);
+    }
+    return load / slots;
+}
+
+const DeployedEndpoint *LoadBalancer::choose(
+    Instant now, const SelectionCriteria &criteria, const std::set<std::string> &tried) const
+{
+    const auto ids = this->idsByService.find(criteria.service);
+    if (ids == this->idsByService.end()) {
+        return nullptr;
+    }
+    struct Candidate
+    {
+        const State *state = nullptr;
+        bool unhealthy = false; ///< The endpoint is in backoff or ejected.
+        double utilization = 0; ///< See LoadBalancer::utilization.
+        std::uint64_t affinityHash = 0; ///< Rendezvous hash of endpoint and affinity; also breaks ties.
+    };
+    std::vector<Candidate> candidates;
+    for (const std::string &id : ids->second) {
+        if (!tried.contains(id)) {
+            const State &state = this->states.at(id);
+            const bool unhealthy = std::max(state.backoffUntil, state.ejectedUntil) > now;
+            candidates.push_back({&state, unhealthy, utilization(now, state), hash64(id, criteria.affinity)});
+        }
+    }
+    if (candidates.empty()) {
+        return nullptr;
+    }
+    if (criteria.affinity != 0) {
+        std::sort(candidates.begin(), candidates.end(), [](const Candidate &a, const Candidate &b) {
+            return a.affinityHash > b.affinityHash;
+        });
+        for (const Candidate &candidate : candidates) {
+            if (!candidate.unhealthy && candidate.utilization < MaxAffinityUtilization) {
+                return &candidate.state->endpoint;
+            }
+        }
+    }
+    const auto best =
+        std::min_element(candidates.begin(), candidates.end(), [&](const Candidate &a, const Candidate &b) {
+            const bool aRemote = a.state->endpoint.dataCentre != criteria.dataCentre;
+            const bool bRemote = b.state->endpoint.dataCentre != criteria.dataCentre;
+            return std::tuple(a.unhealthy, a.utilization, aRemote, a.affinityHash)
+                < std::tuple(b.unhealthy, b.utilization, bRemote, b.affinityHash);
+        });
+    return &best->state->endpoint;
+}
+
+std::string LoadBalancer::describeLoad(Instant now, const std::string &id) const
+{
+    const auto found = this->states.find(id);
+    if (found == this->states.end()) {
+        return "unknown";
+    }
+    const State &state = found->second;
+    const std::int64_t age = state.loadReportedAt.us == 0 ? -1 : (now - state.loadReportedAt).count() / 1000;
+    return std::to_string(state.inFlight) + "," + std::to_string(state.load.running) + ","
+        + std::to_string(state.load.waiting) + "," + std::to_string(state.load.slots) + "," + std::to_string(age);
+}
+
+void LoadBalancer::recordRequestStart(const std::string &id)
+{
+    ++this->states[id].inFlight;
+}
+
+void LoadBalancer::recordRequestEnd(const std::string &id)
+{
+    State &state = this->states[id];
+    state.inFlight -= std::min(state.inFlight, 1U);
+}
+
+void LoadBalancer::recordLoad(Instant now, const std::string &id, const EndpointLoad &load)
+{
+    State &state = this->states[id];
+    state.load = load;
+    state.loadReportedAt = now;
+    state.inFlightAtLoadReport = state.inFlight;
+}
+
+void LoadBalancer::recordFailure(Instant now, const std::string &id)
+{
+    State &state = this->states[id];
+    state.backoffUntil = now + InitialBackoff * (1U << std::min(state.consecutiveFailures, MaxBackoffDoublings));
+    ++state.consecutiveFailures;
+    this->updateErrorRate(now, id, 1);
+}
+
+void LoadBalancer::recordSuccess(Instant now, const std::string &id)
+{
+    this->states[id].consecutiveFailures = 0;
+    this->updateErrorRate(now, id, 0);
+}
+
+void LoadBalancer::recordError(Instant now, const std::string &id)
+{
+    this->updateErrorRate(now, id, 1);
+}
+
+void LoadBalancer::updateErrorRate(Instant now, const std::string &id, double failed)
+{
+    State &state = this->states[id];
+    state.errorRate += ErrorRateWeight * (failed - state.errorRate);
+    const auto ids = this->idsByService.find(state.endpoint.service);
+    if (failed == 0 || state.errorRate < EjectionErrorRate || state.ejectedUntil > now
+        || ids == this->idsByService.end()) {
+        return;
+    }
+    std::vector<double> errorRates;
+    std::size_t ejected = 0;
+    for (const std::string &other : ids->second) {
+        errorRates.push_back(this->states.at(other).errorRate);
+        ejected += this->states.at(other).ejectedUntil > now ? 1 : 0;
+    }
+    const auto median = errorRates.begin() + static_cast<std::ptrdiff_t>(errorRates.size() / 2);
+    std::nth_element(errorRates.begin(), median, errorRates.end());
+    const bool mayEject =
+        static_cast<double>(ejected + 1) <= MaxEjectedFraction * static_cast<double>(errorRates.size());
+    if (mayEject && state.errorRate > EjectionOutlierRatio * *median) {
+        state.ejectedUntil = now + EjectionTime;
+        state.errorRate = EjectionErrorRate / 2; // After its return, a few failures are enough to eject it again.
+    }
+}
+
+void LoadBalancer::recordOverload(Instant now, const std::string &id)
+{
+    this->states[id].backoffUntil = now + OverloadBackoff;
+}
+
+} // namespace Chestnuthook
--- /dev/null
+++ b/src/gateway/load_balancer_base.h
@@ -0,0 +1,100 @@
+/** @file load_balancer_base.h  Tracks the load and health of the endpoints and selects one for each request. Does no
+ * I/O. */
+#pragma once
+
+#include <cstdint>
+#include <map>
+#include <set>
+#include <string>
+#include <vector>
+
+#include "core/timer_type.h"
+#include "deployment/endpoint_list_type.h"
+#include "gateway/header_codec_type.h"
+
+namespace Chestnuthook
+{
+
+/** Criteria for the selection of an endpoint. */
+struct SelectionCriteria
+{
+    std::string service; ///< Only endpoints of this service are considered.
+    std::uint64_t affinity = 0; ///< Requests with the same value share cached prompts; 0 for no affinity.
+    std::string dataCentre; ///< Data centre of this gateway; preferred among equally loaded endpoints.
+};
+
+class LoadBalancer
+{
+public:
+    /** Replaces the list of endpoints by the platform's current one. */
+    void setEndpoints(const std::vector<DeployedEndpoint> &list);
+
+    /** Selects an endpoint whose id isn't in @p tried. @return null if there is none. */
+    [[nodiscard]] const DeployedEndpoint *choose(
+        Instant now, const SelectionCriteria &criteria, const std::set<std::string> &tried) const;
+    /** Whether @p id is listed and not being drained. */
+    [[nodiscard]] bool isUsable(const std::string &id) const;
+
+    /** Describes the load of @p id for the log: this gateway's requests in flight, then the running and waiting
+     * requests and the slots that the endpoint reported, then the age of that report in milliseconds. */
+    [[nodiscard]] std::string describeLoad(Instant now, const std::string &id) const;
+
+    void recordRequestStart(const std::string &id);
+    void recordRequestEnd(const std::string &id);
+    void recordLoad(Instant now, const std::string &id, const EndpointLoad &load);
+    /** Records a failed connection or response. The endpoint is avoided for a while. */
+    void recordFailure(Instant now, const std::string &id);
+    void recordSuccess(Instant now, const std::string &id);
+    /** Records an error response or a timeout. The endpoint is avoided only if that happens far more often than at the
+     * other endpoints of its service. */
+    void recordError(Instant now, const std::string &id);
+    /** Records that the endpoint refused a request because it is overloaded. */
+    void recordOverload(Instant now, const std::string &id);
+
+private:
+    /** Load reports that are older than this are ignored. */
+    static constexpr Duration LoadReportTtl = std::chrono::milliseconds(500);
+    /** An endpoint that failed is avoided for this long, doubled with each further failure in a row. */
+    static constexpr Duration InitialBackoff = std::chrono::milliseconds(250);
+    static constexpr unsigned MaxBackoffDoublings = 3;
+    /** An overloaded endpoint is avoided for this long. */
+    static constexpr Duration OverloadBackoff = std::chrono::milliseconds(60);
+    /** The endpoint preferred by affinity is skipped if its running and waiting requests reach this multiple of its
+     * slots. Queueing for a short time costs less than processing the prompts of a program again at another endpoint,
+     * which delays all other requests there. */
+    static constexpr double MaxAffinityUtilization = 1.8;
+
+    /** Weight of the latest result in the moving average of an endpoint's error rate. */
+    static constexpr double ErrorRateWeight = 0.12;
+    /** An endpoint is ejected if its error rate is above this and above EjectionOutlierRatio times the median error
+     * rate of its service, but never more than MaxEjectedFraction of the endpoints of a service. */
+    static constexpr double EjectionErrorRate = 0.2;
+    static constexpr double EjectionOutlierRatio = 3;
+    static constexpr double MaxEjectedFraction = 0.34;
+    static constexpr Duration EjectionTime = std::chrono::milliseconds(2500);
+
+    struct State
+    {
+        DeployedEndpoint endpoint; ///< Entry of the platform's list.
+        unsigned inFlight = 0; ///< Requests of this gateway in flight at the endpoint.
+        EndpointLoad load; ///< Last load report.
+        Instant loadReportedAt{0}; ///< Time of the last load report; 0 for none.
+        unsigned inFlightAtLoadReport = 0; ///< Value of `inFlight` at the last load report.
+        unsigned consecutiveFailures = 0; ///< Failures since the last success.
+        Instant backoffUntil{0}; ///< Avoided until then if there is an alternative.
+        double errorRate = 0; ///< Exponential moving average of failed results, 0 to 1.
+        Instant ejectedUntil{0}; ///< End of the ejection because of the error rate.
+    };
+
+    /** Adds a result, 1 for a failure and 0 for a success, to the error rate and ejects the endpoint if it is an
+     * outlier. */
+    void updateErrorRate(Instant now, const std::string &id, double failed);
+
+    /** Running and waiting requests divided by the number of slots; above 1 if requests are queued. */
+    [[nodiscard]] static double utilization(Instant now, const State &state);
+
+    std::map<std::string, State> states; ///< By endpoint id.
+    std::map<std::string, std::vector<std::string>> idsByService; ///< Endpoints that aren't being drained.
+};
+
+} // namespace Chestnuthook
--- a/src/gateway/rate_limiter_base.cpp
+++ b/src/gateway/rate_limiter_base.cpp
@@ -1,4 +1,4 @@
-/** @file rate_limiter_base.cpp  Credit of one gateway. */
+/** @file rate_limiter_base.cpp  Credit accounting of one gateway. */
 #include "gateway/rate_limiter_base.h"
 
 #include <algorithm>
@@ -10,74 +10,76 @@
 
 double RateLimiter::retryAfterSeconds(const CustomerRule &customer)
 {
-    return customer.ratePerSecond <= 0 ? LeastRetrySeconds
-                                       : std::clamp(1 / customer.ratePerSecond, LeastRetrySeconds, MostRetrySeconds);
+    return customer.ratePerSecond <= 0
+        ? MinRetryAfterSeconds
+        : std::clamp(1 / customer.ratePerSecond, MinRetryAfterSeconds, MaxRetryAfterSeconds);
 }
 
-void RateLimiter::noteDemand(Instant now, Account &account)
+void RateLimiter::updateDemand(Instant now, Account &account)
 {
-    ++account.seen;
-    const Duration since = now - account.seenFrom;
-    if (since >= DemandPeriod) {
-        const double sample = account.seen / std::chrono::duration<double>(since).count();
-        account.perSecond += DemandWeight * (sample - account.perSecond);
-        account.seen = 0;
-        account.seenFrom = now;
+    ++account.sampleRequests;
+    const Duration elapsed = now - account.sampleStart;
+    if (elapsed >= DemandSampleInterval) {
+        const double sample = account.sampleRequests / std::chrono::duration<double>(elapsed).count();
+        account.demandPerSecond += DemandSampleWeight * (sample - account.demandPerSecond);
+        account.sampleRequests = 0;
+        account.sampleStart = now;
     }
 }
 
-void RateLimiter::dropOldCredit(Instant now, Account &account)
+void RateLimiter::dropExpiredCredit(Instant now, Account &account)
 {
-    if (now - account.granted > CreditLife) {
+    if (now - account.grantedAt > CreditTtl) {
         account.credit = 0;
         account.lateCredit = 0;
     }
 }
 
 CreditDecision RateLimiter::take(
-    Instant now, const CustomerRule &customer, CreditClass use, bool inTouch, std::size_t gateways)
+    Instant now, const CustomerRule &customer, CreditClass creditClass, bool leaderReachable, std::size_t gateways)
 {
     if (customer.ratePerSecond <= 0) {
         return CreditDecision::Admitted;
     }
     Account &account = this->accounts[customer.name];
-    this->noteDemand(now, account);
-    dropOldCredit(now, account);
-    const bool isRefused = account.refusedFrom && use >= *account.refusedFrom && now - account.refusedAt < RefusalLife;
-    if (inTouch && isRefused && use != CreditClass::Ongoing) {
+    this->updateDemand(now, account);
+    dropExpiredCredit(now, account);
+    const bool isRefused =
+        account.firstRefusedClass && creditClass >= *account.firstRefusedClass && now - account.refusedAt < RefusalTtl;
+    if (leaderReachable && isRefused && creditClass != CreditClass::Ongoing) {
         return CreditDecision::Refused;
     }
-    std::uint32_t &credit = use == CreditClass::LateNewProgram ? account.lateCredit : account.credit;
+    std::uint32_t &credit = creditClass == CreditClass::LateNewProgram ? account.lateCredit : account.credit;
     if (credit > 0) {
         --credit;
         return CreditDecision::Admitted;
     }
-    if (inTouch) {
+    if (leaderReachable) {
         if (isRefused) {
             return CreditDecision::Refused;
         }
-        switch (use) {
+        switch (creditClass) {
         case CreditClass::Ongoing:
-            ++account.waiting.requests;
+            ++account.unsentRequests.requests;
             break;
         case CreditClass::NewProgram:
-            ++account.waiting.ahead;
+            ++account.unsentRequests.ahead;
             break;
         case CreditClass::LateNewProgram:
-            ++account.waiting.late;
+            ++account.unsentRequests.late;
             break;
         }
         return CreditDecision::AwaitCredit;
     }
     const double share = customer.ratePerSecond / static_cast<double>(std::max<std::size_t>(gateways, 1));
-    const double most = std::max(1.0, share * IsolatedBurstSeconds);
-    const double seconds = std::chrono::duration<double>(now - account.isolatedFilled).count();
-    account.isolatedTokens = std::min(most, account.isolatedTokens + seconds * share);
-    account.isolatedFilled = now;
-    if (account.isolatedTokens < 1) {
+    const double capacity = std::max(1.0, share * IsolatedBurstSeconds);
+    const double seconds = std::chrono::duration<double>(now - account.isolatedRefilledAt).count();
+    account.isolatedCredit = std::min(capacity, account.isolatedCredit + seconds * share);
+    account.isolatedRefilledAt = now;
+    if (account.isolatedCredit < 1) {
         return CreditDecision::Refused;
     }
-    account.isolatedTokens -= 1;
+    account.isolatedCredit -= 1;
     return CreditDecision::Admitted;
 }
 
@@ -85,19 +87,19 @@
 {
     std::map<std::string, CreditWish> list;
     for (auto &[name, account] : this->accounts) {
-        if (account.asked) {
+        if (account.requestPending) {
             continue;
         }
-        dropOldCredit(now, account);
-        const double expected = account.perSecond * AheadSeconds;
-        const auto ahead = expected < LeastExpected ? 0 : static_cast<std::uint32_t>(std::ceil(expected));
+        dropExpiredCredit(now, account);
+        const double expected = account.demandPerSecond * PrefetchSeconds;
+        const auto ahead = expected < MinPrefetchRequests ? 0 : static_cast<std::uint32_t>(std::ceil(expected));
         const bool isLow = account.credit * 2 < ahead;
-        if (account.waiting.sum() == 0 && !isLow) {
+        if (account.unsentRequests.sum() == 0 && !isLow) {
             continue;
         }
-        CreditWish wish = std::exchange(account.waiting, {});
+        CreditWish wish = std::exchange(account.unsentRequests, {});
         wish.ahead += ahead > account.credit ? ahead - account.credit : 0;
-        account.asked = true;
+        account.requestPending = true;
         list[name] = wish;
     }
     return list;
@@ -110,27 +112,27 @@
         Account &account = this->accounts[name];
         const auto entry = granted.find(name);
         const std::uint32_t got = entry == granted.end() ? 0 : entry->second;
-        account.asked = false;
+        account.requestPending = false;
         const std::uint32_t forLate = got - std::min(got, wish.requests + wish.ahead);
         account.credit += got - forLate;
         account.lateCredit += forLate;
-        account.granted = now;
-        account.refusedFrom.reset();
+        account.grantedAt = now;
+        account.firstRefusedClass.reset();
         if (got < wish.requests) {
-            account.refusedFrom = CreditClass::Ongoing;
+            account.firstRefusedClass = CreditClass::Ongoing;
         } else if (got < wish.requests + wish.ahead) {
-            account.refusedFrom = CreditClass::NewProgram;
+            account.firstRefusedClass = CreditClass::NewProgram;
         } else if (got < wish.sum()) {
-            account.refusedFrom = CreditClass::LateNewProgram;
+            account.firstRefusedClass = CreditClass::LateNewProgram;
         }
         account.refusedAt = now;
     }
 }
 
-void RateLimiter::lost(const std::map<std::string, CreditWish> &asked)
+void RateLimiter::requestFailed(const std::map<std::string, CreditWish> &asked)
 {
     for (const auto &[name, wish] : asked) {
-        this->accounts[name].asked = false;
+        this->accounts[name].requestPending = false;
     }
 }
 
--- a/src/gateway/rate_limiter_base.h
+++ b/src/gateway/rate_limiter_base.h
@@ -1,5 +1,6 @@
-/** @file rate_limiter_base.h  What one gateway may admit of each customer's rate: credit fetched from the leader, or a
- * fixed share while the leader can't be reached. Pure. */
+/** @file rate_limiter_base.h  Rate limiting of customers at one gateway. A gateway admits requests with credit that it
+ * fetches from the leader; while the leader is unreachable, it admits a fixed share of each customer's rate. Does no
+ * I/O. */
 #pragma once
 
 #include <cstdint>
@@ -14,75 +15,76 @@
 namespace Chestnuthook
 {
 
-/** What credit is taken for; under scarcity the first kinds go before the later ones. */
+/** Class of a request. When credit is scarce, earlier classes are served before later ones. */
 enum class CreditClass : std::uint8_t {
-    Ongoing, ///< A request of a program under way, or one without a program.
-    NewProgram, ///< The first request of a program.
-    LateNewProgram, ///< The first request of a program that can hardly end in time any more.
+    Ongoing, ///< Request of a program that has already started, or request without a program.
+    NewProgram, ///< First request of a program.
+    LateNewProgram, ///< First request of a program that is unlikely to meet its deadline.
 };
 
 enum class CreditDecision : std::uint8_t {
     Admitted, ///< The request is within the rate.
-    AwaitCredit, ///< Credit has been asked for; ask again when it has come.
-    Refused, ///< The leader has none left for this customer.
+    AwaitCredit, ///< Credit must be requested from the leader; try again when the reply has arrived.
+    Refused, ///< The rate is exceeded.
 };
 
 class RateLimiter
 {
 public:
-    /** Takes credit for one request. While @p inTouch is false, this gateway's part of the rate counts, as one of
-     * @p gateways. */
+    /** Takes credit for one request. While @p leaderReachable is false, the rate is divided evenly among @p gateways.
+     */
     [[nodiscard]] CreditDecision take(
-        Instant now, const CustomerRule &customer, CreditClass use, bool inTouch, std::size_t gateways);
+        Instant now, const CustomerRule &customer, CreditClass creditClass, bool leaderReachable, std::size_t gateways);
 
-    /** What to ask the leader for now, by customer; empty where all have enough. */
+    /** Credit to request from the leader now, by customer; empty if there is enough for all customers. */
     [[nodiscard]] std::map<std::string, CreditWish> creditRequests(Instant now);
-    /** Takes the leader's answer to @p asked. */
+    /** Applies the leader's reply to the credit request @p asked. */
     void grant(Instant now, const std::map<std::string, CreditWish> &asked,
         const std::map<std::string, std::uint32_t> &granted);
-    /** The question was lost. */
-    void lost(const std::map<std::string, CreditWish> &asked);
+    /** Records that the credit request @p asked got no reply. */
+    void requestFailed(const std::map<std::string, CreditWish> &asked);
 
-    /** When to come back after a refusal, in seconds: when the rate of @p customer allows the next request. */
+    /** Seconds after which a refused client should retry: the interval between two requests at the rate of @p customer,
+     * within MinRetryAfterSeconds and MaxRetryAfterSeconds. */
     [[nodiscard]] static double retryAfterSeconds(const CustomerRule &customer);
 
 private:
-    /** Credit that isn't used in this time is dropped, so that all gateways together stay close to the rate. */
-    static constexpr Duration CreditLife = std::chrono::milliseconds(1000);
-    /** Credit that is fetched ahead covers this much of the demand. */
-    static constexpr double AheadSeconds = 0.25;
-    /** Where fewer requests are expected in that time, none are fetched ahead: most would be lost unused. */
-    static constexpr double LeastExpected = 0.5;
-    /** A refusal by the leader holds for this long before it is asked again. */
-    static constexpr Duration RefusalLife = std::chrono::milliseconds(80);
-    /** Bounds of Retry-After: less only adds load, more lets credit of small customers go unused. */
-    static constexpr double LeastRetrySeconds = 0.1;
-    static constexpr double MostRetrySeconds = 0.5;
-    /** Weight of the latest sample in the estimate of demand. */
-    static constexpr double DemandWeight = 0.3;
-    static constexpr Duration DemandPeriod = std::chrono::milliseconds(250);
-    /** Seconds of its share of the rate that an isolated gateway may admit at once. */
+    /** Credit that isn't used within this time is dropped, so that all gateways together stay close to the rate. */
+    static constexpr Duration CreditTtl = std::chrono::milliseconds(1000);
+    /** Credit is prefetched for the expected demand of this time. */
+    static constexpr double PrefetchSeconds = 0.25;
+    /** No credit is prefetched if fewer requests are expected, because most of it would expire unused. */
+    static constexpr double MinPrefetchRequests = 0.5;
+    /** A refusal by the leader applies for this long; only then is credit requested for such requests again. */
+    static constexpr Duration RefusalTtl = std::chrono::milliseconds(80);
+    /** Limits of Retry-After: a shorter time only adds load, a longer one leaves credit of small customers unused. */
+    static constexpr double MinRetryAfterSeconds = 0.1;
+    static constexpr double MaxRetryAfterSeconds = 0.5;
+    /** Weight of the latest sample in the moving average of the demand. */
+    static constexpr double DemandSampleWeight = 0.3;
+    static constexpr Duration DemandSampleInterval = std::chrono::milliseconds(250);
+    /** Burst size of a gateway that can't reach the leader, in seconds of its share of the rate. */
     static constexpr double IsolatedBurstSeconds = 0.4;
 
     struct Account
     {
         std::uint32_t credit = 0; ///< Requests that may be admitted.
-        std::uint32_t lateCredit = 0; ///< The same for CreditClass::LateNewProgram, which takes nothing of `credit`.
-        Instant granted{0}; ///< When credit came last.
-        CreditWish waiting; ///< Requests that asked and were told to wait, since the last question.
-        bool asked = false; ///< A question is under way.
-        Instant refusedAt{0}; ///< When the leader had none left.
-        /** The last answer gave less than was asked: this use and later ones of CreditClass are refused. */
-        std::optional<CreditClass> refusedFrom;
-        double perSecond = 0; ///< Estimate of the demand here.
-        std::uint32_t seen = 0; ///< Requests since `seenFrom`.
-        Instant seenFrom{0}; ///< Start of the current sample.
-        double isolatedTokens = 0; ///< Of the share while out of touch.
-        Instant isolatedFilled{0}; ///< When `isolatedTokens` was worked out.
+        std::uint32_t lateCredit = 0; ///< Separate credit for CreditClass::LateNewProgram, which never uses `credit`.
+        Instant grantedAt{0}; ///< Time of the last grant.
+        CreditWish unsentRequests; ///< Requests that await credit and aren't part of a credit request yet.
+        bool requestPending = false; ///< A credit request is in flight.
+        Instant refusedAt{0}; ///< Time of the last reply, which applies to `firstRefusedClass`.
+        /** Set if the last reply granted less than was requested: this class and all later ones are refused. */
+        std::optional<CreditClass> firstRefusedClass;
+        double demandPerSecond = 0; ///< Moving average of the requests per second at this gateway.
+        std::uint32_t sampleRequests = 0; ///< Requests since `sampleStart`.
+        Instant sampleStart{0}; ///< Start of the current sample.
+        double isolatedCredit = 0; ///< Tokens of the bucket that is used while the leader is unreachable.
+        Instant isolatedRefilledAt{0}; ///< When `isolatedCredit` was last refilled.
     };
 
-    void noteDemand(Instant now, Account &account);
-    static void dropOldCredit(Instant now, Account &account);
+    void updateDemand(Instant now, Account &account);
+    static void dropExpiredCredit(Instant now, Account &account);
 
     std::map<std::string, Account> accounts; ///< By customer.
 };
--- a/tests/unit/gateway_decision_test.cpp
+++ b/tests/unit/gateway_decision_test.cpp
@@ -1,11 +1,12 @@
-/** @file gateway_decision_test.cpp  Choice of an endpoint, urgency of turns, and events of streams. */
+/** @file gateway_decision_test.cpp  Endpoint selection, request priority, graceful shutdown and splitting of event
+ * streams. */
 #define BOOST_TEST_MODULE gateway_decision
 #include <boost/test/unit_test.hpp>
 
-#include "gateway/call_urgency_func.h"
-#include "gateway/endpoint_board_base.h"
 #include "gateway/event_split_func.h"
 #include "gateway/gateway_base.h"
+#include "gateway/load_balancer_base.h"
+#include "gateway/request_priority_func.h"
 
 using namespace Chestnuthook;
 
@@ -22,98 +23,98 @@
     return list;
 }
 
-unsigned urgencyAt(std::int64_t msLeft)
+unsigned priorityAt(std::int64_t msLeft)
 {
-    return callUrgency({1, true, Milliseconds(msLeft)});
+    return requestPriority({1, true, Milliseconds(msLeft)});
 }
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(a_program_goes_to_the_same_endpoint_from_each_gateway)
+BOOST_AUTO_TEST_CASE(all_gateways_select_the_same_endpoint_for_a_program)
 {
-    EndpointBoard one;
-    EndpointBoard other;
-    one.setList(endpoints(9));
+    LoadBalancer one;
+    LoadBalancer other;
+    one.setEndpoints(endpoints(9));
     auto reversed = endpoints(9);
     std::reverse(reversed.begin(), reversed.end());
-    other.setList(reversed);
+    other.setEndpoints(reversed);
     for (std::uint64_t program = 1; program < 100; ++program) {
-        const PlacementWish wish{"model", program, "x"};
-        BOOST_TEST(one.choose(Instant(1), wish, {})->id == other.choose(Instant(1), wish, {})->id);
+        const SelectionCriteria criteria{"model", program, "x"};
+        BOOST_TEST(one.choose(Instant(1), criteria, {})->id == other.choose(Instant(1), criteria, {})->id);
     }
 }
 
-BOOST_AUTO_TEST_CASE(a_program_stays_while_its_endpoint_queues_a_little_and_moves_when_it_queues_much)
-{
-    EndpointBoard board;
-    board.setList(endpoints(3));
-    const PlacementWish wish{"model", 42, "x"};
-    const std::string home = board.choose(Instant(1), wish, {})->id;
-    board.noteLoad(Instant(1), home, EndpointLoad{8, 4, 8});
-    BOOST_TEST(board.choose(Instant(2), wish, {})->id == home);
-    board.noteLoad(Instant(1), home, EndpointLoad{8, 8, 8});
-    BOOST_TEST(board.choose(Instant(2), wish, {})->id != home);
-    BOOST_TEST(board.choose(Instant(1000000), wish, {})->id == home); // What was told is too old to count on.
+BOOST_AUTO_TEST_CASE(affinity_holds_until_the_endpoint_is_overloaded)
+{
+    LoadBalancer balancer;
+    balancer.setEndpoints(endpoints(3));
+    const SelectionCriteria criteria{"model", 42, "x"};
+    const std::string preferred = balancer.choose(Instant(1), criteria, {})->id;
+    balancer.recordLoad(Instant(1), preferred, EndpointLoad{8, 4, 8});
+    BOOST_TEST(balancer.choose(Instant(2), criteria, {})->id == preferred);
+    balancer.recordLoad(Instant(1), preferred, EndpointLoad{8, 8, 8});
+    BOOST_TEST(balancer.choose(Instant(2), criteria, {})->id != preferred);
+    BOOST_TEST(balancer.choose(Instant(1000000), criteria, {})->id == preferred); // The load report has expired.
 }
 
-BOOST_AUTO_TEST_CASE(leaving_and_tried_endpoints_are_not_chosen)
+BOOST_AUTO_TEST_CASE(draining_and_tried_endpoints_are_not_selected)
 {
-    EndpointBoard board;
+    LoadBalancer balancer;
     auto list = endpoints(3);
     list[0].leaving = true;
-    board.setList(list);
-    const PlacementWish wish{"model", 0, "x"};
-    BOOST_TEST(board.choose(Instant(1), wish, {"e1"})->id == "e2");
-    BOOST_TEST(board.choose(Instant(1), wish, {"e1", "e2"}) == nullptr);
-    BOOST_TEST(!board.isUsable("e0"));
+    balancer.setEndpoints(list);
+    const SelectionCriteria criteria{"model", 0, "x"};
+    BOOST_TEST(balancer.choose(Instant(1), criteria, {"e1"})->id == "e2");
+    BOOST_TEST(balancer.choose(Instant(1), criteria, {"e1", "e2"}) == nullptr);
+    BOOST_TEST(!balancer.isUsable("e0"));
 }
 
-BOOST_AUTO_TEST_CASE(an_endpoint_that_failed_is_avoided_for_a_while_but_better_than_none)
-{
-    EndpointBoard board;
-    board.setList(endpoints(2));
-    const PlacementWish wish{"model", 7, "x"};
-    const std::string home = board.choose(Instant(1), wish, {})->id;
-    board.noteFailure(Instant(1), home);
-    BOOST_TEST(board.choose(Instant(2), wish, {})->id != home);
-    BOOST_TEST(board.choose(Instant(300000), wish, {})->id == home);
-    const std::string other = home == "e0" ? "e1" : "e0";
-    board.noteFailure(Instant(300000), home);
-    BOOST_TEST(board.choose(Instant(300001), wish, {other})->id == home);
+BOOST_AUTO_TEST_CASE(failed_endpoint_is_avoided_unless_it_is_the_only_one)
+{
+    LoadBalancer balancer;
+    balancer.setEndpoints(endpoints(2));
+    const SelectionCriteria criteria{"model", 7, "x"};
+    const std::string preferred = balancer.choose(Instant(1), criteria, {})->id;
+    balancer.recordFailure(Instant(1), preferred);
+    BOOST_TEST(balancer.choose(Instant(2), criteria, {})->id != preferred);
+    BOOST_TEST(balancer.choose(Instant(300000), criteria, {})->id == preferred);
+    const std::string other = preferred == "e0" ? "e1" : "e0";
+    balancer.recordFailure(Instant(300000), preferred);
+    BOOST_TEST(balancer.choose(Instant(300001), criteria, {other})->id == preferred);
 }
 
-BOOST_AUTO_TEST_CASE(an_endpoint_that_fails_more_often_than_its_peers_is_ejected_and_returns)
+BOOST_AUTO_TEST_CASE(outlier_is_ejected_and_readmitted)
 {
-    EndpointBoard board;
-    board.setList(endpoints(9));
+    LoadBalancer balancer;
+    balancer.setEndpoints(endpoints(9));
     Instant now(1);
-    const PlacementWish wish{"model", 7, "x"};
-    const std::string sick = board.choose(now, wish, {})->id;
+    const SelectionCriteria criteria{"model", 7, "x"};
+    const std::string outlier = balancer.choose(now, criteria, {})->id;
     for (int i = 0; i < 30; ++i) {
-        i % 5 < 2 ? board.noteError(now, sick) : board.noteSuccess(now, sick);
+        i % 5 < 2 ? balancer.recordError(now, outlier) : balancer.recordSuccess(now, outlier);
     }
-    BOOST_TEST(board.choose(now, wish, {})->id != sick);
+    BOOST_TEST(balancer.choose(now, criteria, {})->id != outlier);
     now += std::chrono::seconds(3);
-    BOOST_TEST(board.choose(now, wish, {})->id == sick);
+    BOOST_TEST(balancer.choose(now, criteria, {})->id == outlier);
 }
 
-BOOST_AUTO_TEST_CASE(where_all_fail_alike_none_is_ejected_and_never_more_than_a_third)
+BOOST_AUTO_TEST_CASE(ejection_requires_an_outlier_and_is_limited_to_a_third)
 {
-    EndpointBoard alike;
-    alike.setList(endpoints(9));
-    const PlacementWish wish{"model", 7, "x"};
-    const std::string home = alike.choose(Instant(1), wish, {})->id;
+    LoadBalancer alike;
+    alike.setEndpoints(endpoints(9));
+    const SelectionCriteria criteria{"model", 7, "x"};
+    const std::string preferred = alike.choose(Instant(1), criteria, {})->id;
     for (int i = 0; i < 30; ++i) {
         for (int e = 0; e < 9; ++e) {
-            alike.noteError(Instant(1), "e" + std::to_string(e));
+            alike.recordError(Instant(1), "e" + std::to_string(e));
         }
     }
-    BOOST_TEST(alike.choose(Instant(1), wish, {})->id == home);
-    EndpointBoard many;
-    many.setList(endpoints(9));
+    BOOST_TEST(alike.choose(Instant(1), criteria, {})->id == preferred);
+    LoadBalancer many;
+    many.setEndpoints(endpoints(9));
     for (int i = 0; i < 30; ++i) {
         for (int e = 0; e < 4; ++e) {
-            many.noteError(Instant(1), "e" + std::to_string(e));
+            many.recordError(Instant(1), "e" + std::to_string(e));
         }
     }
     std::set<std::string> used;
@@ -123,43 +124,44 @@
     BOOST_TEST(used.size() == 6U);
 }
 
-BOOST_AUTO_TEST_CASE(calls_without_affinity_go_where_least_is_under_way)
+BOOST_AUTO_TEST_CASE(requests_without_affinity_go_to_the_least_loaded_endpoint)
 {
-    EndpointBoard board;
-    board.setList(endpoints(2));
-    board.noteSent("e0");
-    BOOST_TEST(board.choose(Instant(1), {"model", 0, "x"}, {})->id == "e1");
-    board.noteSent("e1");
-    board.noteSent("e1");
-    BOOST_TEST(board.choose(Instant(1), {"model", 0, "x"}, {})->id == "e0");
+    LoadBalancer balancer;
+    balancer.setEndpoints(endpoints(2));
+    balancer.recordRequestStart("e0");
+    BOOST_TEST(balancer.choose(Instant(1), {"model", 0, "x"}, {})->id == "e1");
+    balancer.recordRequestStart("e1");
+    balancer.recordRequestStart("e1");
+    BOOST_TEST(balancer.choose(Instant(1), {"model", 0, "x"}, {})->id == "e0");
 }
 
-BOOST_AUTO_TEST_CASE(programs_near_their_end_come_first_and_late_ones_last)
+BOOST_AUTO_TEST_CASE(nearest_deadline_has_priority_and_late_programs_come_last)
 {
-    BOOST_TEST(urgencyAt(200) < urgencyAt(700));
-    BOOST_TEST(urgencyAt(700) < urgencyAt(2000));
-    BOOST_TEST(urgencyAt(2000) < urgencyAt(5000));
-    BOOST_TEST(urgencyAt(5000) < urgencyAt(-1));
-    BOOST_TEST(urgencyAt(60000) < urgencyAt(0));
-    BOOST_TEST(urgencyAt(-100000) <= LeastUrgent);
+    BOOST_TEST(priorityAt(200) < priorityAt(700));
+    BOOST_TEST(priorityAt(700) < priorityAt(2000));
+    BOOST_TEST(priorityAt(2000) < priorityAt(5000));
+    BOOST_TEST(priorityAt(5000) < priorityAt(-1));
+    BOOST_TEST(priorityAt(60000) < priorityAt(0));
+    BOOST_TEST(priorityAt(-100000) <= LowestPriority);
 }
 
-/** One endpoint that runs eight turns at once, each for 100 ms, under a burst of programs: in the order of urgency more
- * of them end in time than in the order of arrival. */
-BOOST_AUTO_TEST_CASE(under_a_burst_more_programs_end_in_time_than_by_arrival)
+/** Simulates a burst of programs at an endpoint that runs eight turns at once, each for 100 ms. More programs must meet
+ * their deadlines if turns are run by priority than if they are run in order of arrival. */
+BOOST_AUTO_TEST_CASE(priority_order_meets_more_deadlines_than_arrival_order)
 {
     struct Program
     {
-        int turnsLeft = 0; ///< Still to run.
-        int arrived = 0; ///< Of the waiting turn, in ms.
-        int due = 0; ///< In ms.
-        int runsUntil = -1; ///< -1 while it waits.
+        int turnsLeft = 0; ///< Turns that aren't finished yet.
+        int arrived = 0; ///< Arrival time of the waiting turn, in milliseconds.
+        int due = 0; ///< Deadline of the program, in milliseconds.
+        int runsUntil = -1; ///< End of the running turn in milliseconds; -1 while the turn waits.
     };
-    const auto play = [](bool byUrgency) {
+    const auto simulate = [](bool byPriority) {
         std::vector<Program> programs;
         int inTime = 0;
         for (int now = 0; now < 6000; now += 10) {
-            if (now < 2000 && now % 20 == 0) { // 50 programs a second of 1 to 4 turns; 32 turns a second more than fit.
+            // 50 programs per second with 1 to 4 turns; 32 turns per second exceed the capacity.
+            if (now < 2000 && now % 20 == 0) {
                 const int turns = 1 + static_cast<int>(programs.size() % 4);
                 programs.push_back({turns, now, now + turns * 100 * 2, -1});
             }
@@ -175,8 +177,8 @@
             while (running < 8) {
                 Program *next = nullptr;
                 const auto order = [&](const Program &one) {
-                    const unsigned urgency = byUrgency ? urgencyAt(one.due - now) : 0;
-                    return std::pair(urgency, one.arrived);
+                    const unsigned priority = byPriority ? priorityAt(one.due - now) : 0;
+                    return std::pair(priority, one.arrived);
                 };
                 for (Program &program : programs) {
                     const bool waits = program.turnsLeft > 0 && program.runsUntil < 0;
@@ -193,20 +195,20 @@
         }
         return inTime;
     };
-    BOOST_TEST(play(true) > play(false));
+    BOOST_TEST(simulate(true) > simulate(false));
 }
 
-BOOST_AUTO_TEST_CASE(a_planned_stop_waits_for_callers_and_requests_within_its_grace)
+BOOST_AUTO_TEST_CASE(graceful_shutdown_waits_for_clients_and_requests_within_the_grace_period)
 {
     constexpr Duration Grace = std::chrono::seconds(8);
-    const Duration callersCome = gatewayListLife(Grace) * ListLifeOverrun;
-    BOOST_TEST(!Gateway::isStopDone(callersCome, 0, Grace));
-    BOOST_TEST(Gateway::isStopDone(callersCome + std::chrono::seconds(1), 0, Grace));
-    BOOST_TEST(!Gateway::isStopDone(callersCome + std::chrono::seconds(1), 1, Grace));
-    BOOST_TEST(Gateway::isStopDone(std::chrono::milliseconds(7500), 1, Grace));
+    const Duration arrivalPeriod = gatewayListLife(Grace) * ListLifeOverrun;
+    BOOST_TEST(!Gateway::isShutdownDone(arrivalPeriod, 0, Grace));
+    BOOST_TEST(Gateway::isShutdownDone(arrivalPeriod + std::chrono::seconds(1), 0, Grace));
+    BOOST_TEST(!Gateway::isShutdownDone(arrivalPeriod + std::chrono::seconds(1), 1, Grace));
+    BOOST_TEST(Gateway::isShutdownDone(std::chrono::milliseconds(7500), 1, Grace));
 }
 
-BOOST_AUTO_TEST_CASE(callers_forget_a_stopping_gateway_before_its_grace_ends)
+BOOST_AUTO_TEST_CASE(clients_drop_a_stopping_gateway_before_its_grace_period_ends)
 {
     for (const int seconds : {1, 2, 4, 8, 30}) {
         const Duration grace = std::chrono::seconds(seconds);
@@ -215,21 +217,21 @@
     BOOST_TEST((gatewayListLife(std::chrono::seconds(60)) <= std::chrono::seconds(2)));
 }
 
-BOOST_AUTO_TEST_CASE(only_whole_events_are_passed_on)
+BOOST_AUTO_TEST_CASE(splitter_returns_only_complete_events)
 {
     EventSplitter splitter;
     std::vector<StreamEvent> events;
-    BOOST_TEST(splitter.take("id: 1\nda", events).empty());
-    BOOST_TEST(splitter.take("ta: one\n\nid: 2\ndata: t", events) == "id: 1\ndata: one\n\n");
-    BOOST_TEST(splitter.rest() == "id: 2\ndata: t");
-    BOOST_TEST(splitter.take("wo\r\n\r\n", events) == "id: 2\ndata: two\r\n\r\n");
+    BOOST_TEST(splitter.append("id: 1\nda", events).empty());
+    BOOST_TEST(splitter.append("ta: one\n\nid: 2\ndata: t", events) == "id: 1\ndata: one\n\n");
+    BOOST_TEST(splitter.remainder() == "id: 2\ndata: t");
+    BOOST_TEST(splitter.append("wo\r\n\r\n", events) == "id: 2\ndata: two\r\n\r\n");
     BOOST_REQUIRE(events.size() == 2U);
     BOOST_TEST(events[0].data == "one");
     BOOST_TEST(events[1].id == "2");
     BOOST_TEST(events[1].data == "two");
 }
 
-BOOST_AUTO_TEST_CASE(data_of_several_lines_is_joined)
+BOOST_AUTO_TEST_CASE(multiple_data_lines_are_joined)
 {
     const StreamEvent event = parseEvent("data: a\ndata:b\n: comment\nevent: x\n\n");
     BOOST_TEST(event.data == "a\nb");
--- a/tests/unit/http_test.cpp
+++ b/tests/unit/http_test.cpp
@@ -3,7 +3,7 @@
 #define BOOST_TEST_MODULE http
 #include <boost/test/unit_test.hpp>
 
-#include "gateway/endpoint_link_base.h"
+#include "gateway/connection_pool_base.h"
 #include "http/http_reader_base.h"
 #include "http/http_server_base.h"
 
--- a/tests/unit/platform_decode_test.cpp
+++ b/tests/unit/platform_decode_test.cpp
@@ -136,36 +136,36 @@
 BOOST_AUTO_TEST_CASE(facts_of_a_call_are_read)
 {
     const PlatformDialect dialect;
-    const auto facts = dialect.readCall(requestHead({{"x-request-id", "r1"}, {"X-Deadline-Ms", "3000"},
+    const auto metadata = dialect.readRequestMetadata(requestHead({{"x-request-id", "r1"}, {"X-Deadline-Ms", "3000"},
         {"Authorization", "Bearer key"}, {"X-Program-Id", "p"}, {"X-Finish-Ms", "-5"}, {"X-Token-Budget", "2304"},
         {"X-Token-Count", "1840,288"}, {"X-Previous-Turn", "r0"}, {"X-Prompt-Prefix", "a:1,b:2"}}));
-    BOOST_REQUIRE(facts.has_value());
-    BOOST_TEST(facts->requestId == "r1");
-    BOOST_TEST(facts->key == "key");
-    BOOST_TEST(facts->timeLeft->count() == 3000);
-    BOOST_TEST(facts->programTimeLeft->count() == -5);
-    BOOST_TEST(*facts->programTokens == 2304U);
-    BOOST_TEST(facts->outputTokens == 288U);
-    BOOST_TEST(facts->promptParts == 2U);
-    BOOST_TEST(!dialect.readCall(requestHead({{"X-Deadline-Ms", "soon"}})).has_value());
-    BOOST_TEST(!dialect.readCall(requestHead({{"X-Token-Count", "5"}})).has_value());
+    BOOST_REQUIRE(metadata.has_value());
+    BOOST_TEST(metadata->requestId == "r1");
+    BOOST_TEST(metadata->key == "key");
+    BOOST_TEST(metadata->timeLeft->count() == 3000);
+    BOOST_TEST(metadata->programTimeLeft->count() == -5);
+    BOOST_TEST(*metadata->programTokens == 2304U);
+    BOOST_TEST(metadata->outputTokens == 288U);
+    BOOST_TEST(metadata->promptParts == 2U);
+    BOOST_TEST(!dialect.readRequestMetadata(requestHead({{"X-Deadline-Ms", "soon"}})).has_value());
+    BOOST_TEST(!dialect.readRequestMetadata(requestHead({{"X-Token-Count", "5"}})).has_value());
 }
 
 BOOST_AUTO_TEST_CASE(the_head_for_an_endpoint_holds_no_key_and_only_our_own_orders)
 {
     const PlatformDialect dialect;
-    ForwardFacts facts;
-    facts.timeLeft = Milliseconds(250);
-    facts.endpointId = "i1";
-    facts.customer = "glue";
-    facts.urgency = 3;
-    facts.bodyBytes = 5;
-    facts.hasBody = true;
-    const RequestHead head = dialect.forwardHead(
+    ForwardingMetadata metadata;
+    metadata.timeLeft = Milliseconds(250);
+    metadata.endpointId = "i1";
+    metadata.customer = "glue";
+    metadata.priority = 3;
+    metadata.bodyBytes = 5;
+    metadata.hasBody = true;
+    const RequestHead head = dialect.endpointRequestHead(
         requestHead({{"Host", "h"}, {"Authorization", "Bearer key"}, {"X-Tenant", "other"}, {"X-Kv-Hold", "1"},
             {"Kv-From", "1.2.3.4:5/6"}, {"x-pin-ms", "1"}, {"X-Kv-Backup", "a"}, {"Connection", "x-odd, close"},
             {"X-Odd", "1"}, {"Transfer-Encoding", "chunked"}, {"X-Own", "kept"}}),
-        facts);
+        metadata);
     for (const char *name : {"Authorization", "X-Kv-Hold", "Kv-From", "X-Pin-Ms", "X-Kv-Backup", "Connection", "X-Odd",
              "Transfer-Encoding"}) {
         BOOST_TEST(head.fields.find(name) == nullptr, name);
@@ -183,11 +183,11 @@
     const PlatformDialect dialect;
     ResponseHead head;
     head.fields.entries = {{"X-Request-Id", "r1"}, {"X-Response-Signature", "s"}, {"X-Load", "3,1,8"}};
-    const AnswerFacts facts = dialect.readAnswer(head);
-    BOOST_TEST(facts.isSigned);
-    BOOST_TEST(!facts.notRun);
-    BOOST_TEST(facts.load->waiting == 1U);
+    const ResponseMetadata metadata = dialect.readResponseMetadata(head);
+    BOOST_TEST(metadata.isSigned);
+    BOOST_TEST(!metadata.notExecuted);
+    BOOST_TEST(metadata.load->waiting == 1U);
     head.fields.entries = {{"X-Not-Executed", "1"}, {"X-Load", "3,x,8"}};
-    BOOST_TEST(dialect.readAnswer(head).notRun);
-    BOOST_TEST(!dialect.readAnswer(head).load.has_value());
+    BOOST_TEST(dialect.readResponseMetadata(head).notExecuted);
+    BOOST_TEST(!dialect.readResponseMetadata(head).load.has_value());
 }
