--- a/fuzz/platform_fuzz.cpp
+++ b/fuzz/platform_fuzz.cpp
@@ -1,10 +1,10 @@
-/** @file platform_fuzz.cpp  Documents and fields of the platform: whatever comes is decoded or refused with a reason.
- */
+/** @file platform_fuzz.cpp  Fuzzes the decoders for the platform's documents and header fields. Any input must either
+ * be decoded or be rejected with an error message. */
 #include "fuzz_input.h"
 #include "gateway/event_split_func.h"
 #include "platform_configuration_func.h"
-#include "platform_dialect_base.h"
 #include "platform_endpoint_source_base.h"
+#include "platform_header_codec_base.h"
 #include "platform_settings_type.h"
 
 using namespace Chestnuthook;
@@ -13,7 +13,7 @@
 namespace
 {
 
-/** Fields from `name: value` lines. */
+/** Parses header fields from `name: value` lines. */
 HttpFields fieldsOf(const std::string &text)
 {
     HttpFields fields;
@@ -41,16 +41,16 @@
     const auto page = readEndpointPage(text);
     Fuzz::require(page || !page.error().what.empty());
 
-    const PlatformDialect dialect;
+    const PlatformHeaderCodec headerCodec;
     RequestHead request{"POST", "/x", fieldsOf(text), true};
-    const auto metadata = dialect.readRequestMetadata(request);
+    const auto metadata = headerCodec.readRequestMetadata(request);
     Fuzz::require(metadata || !metadata.error().what.empty());
-    const RequestHead forwarded = dialect.endpointRequestHead(request, ForwardingMetadata());
+    const RequestHead forwarded = headerCodec.endpointRequestHead(request, ForwardingMetadata());
     Fuzz::require(forwarded.fields.find("Authorization") == nullptr);
     Fuzz::require(forwarded.fields.find("X-Kv-Hold") == nullptr);
     ResponseHead response;
     response.fields = request.fields;
-    static_cast<void>(dialect.readResponseMetadata(response));
+    static_cast<void>(headerCodec.readResponseMetadata(response));
 
     EventSplitter splitter;
     std::vector<StreamEvent> events;
--- a/tests/unit/platform_decode_test.cpp
+++ b/tests/unit/platform_decode_test.cpp
@@ -1,11 +1,11 @@
-/** @file platform_decode_test.cpp  The platform's settings, configurations, lists and header fields, whole and broken.
- */
+/** @file platform_decode_test.cpp  Decoding of the platform's settings, configurations, endpoint lists and header
+ * fields, both valid and invalid. */
 #define BOOST_TEST_MODULE platform_decode
 #include <boost/test/unit_test.hpp>
 
 #include "platform_configuration_func.h"
-#include "platform_dialect_base.h"
 #include "platform_endpoint_source_base.h"
+#include "platform_header_codec_base.h"
 #include "platform_settings_type.h"
 
 using namespace Chestnuthook;
@@ -20,12 +20,12 @@
                           R"("targetLatencyMs":200,"priority":1,"service":"s1","maxAttempts":2,"retain":true,)"
                           R"("retentionS":60.0,"public":false,"sticky":true,"resumable":false,"later":[1]})";
 
-std::string document(const std::string &routes, const std::string &rest = "")
+std::string configurationDocument(const std::string &routes, const std::string &rest = "")
 {
     return R"({"version":7,"routes":[)" + routes + "]," + Services + rest + "}";
 }
 
-void refuses(const std::string &text, const std::string &part)
+void expectRejected(const std::string &text, const std::string &part)
 {
     const auto read = readConfiguration(text);
     BOOST_REQUIRE_MESSAGE(!read.has_value(), text);
@@ -33,7 +33,7 @@
     BOOST_TEST(read.error().what.find(part) != std::string::npos, read.error().what);
 }
 
-std::string with(std::string text, const std::string &from, const std::string &to)
+std::string replaceFirst(std::string text, const std::string &from, const std::string &to)
 {
     return text.replace(text.find(from), from.size(), to);
 }
@@ -47,9 +47,9 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(a_configuration_is_read_whole)
+BOOST_AUTO_TEST_CASE(configuration_is_decoded)
 {
-    const auto read = readConfiguration(document(Route,
+    const auto read = readConfiguration(configurationDocument(Route,
         R"(,"limits":{"maxBodyBytes":9},"tenants":[{"name":"t","apiKeys":["k1","k2"],"priority":0,"ratePerS":236,"burst":12}])"));
     BOOST_REQUIRE(read.has_value());
     const Configuration &configuration = **read;
@@ -67,10 +67,10 @@
     BOOST_TEST(configuration.findCustomer("k3") == nullptr);
 }
 
-BOOST_AUTO_TEST_CASE(the_longest_prefix_of_the_host_decides)
+BOOST_AUTO_TEST_CASE(longest_matching_path_prefix_selects_the_route)
 {
-    const auto read =
-        readConfiguration(document(Route + "," + with(with(Route, "/p/", "/p/q/"), R"("r")", R"("long")")));
+    const auto read = readConfiguration(
+        configurationDocument(Route + "," + replaceFirst(replaceFirst(Route, "/p/", "/p/q/"), R"("r")", R"("long")")));
     BOOST_REQUIRE(read.has_value());
     BOOST_TEST((*read)->findRoute("a.example", "/p/q/1")->name == "long");
     BOOST_TEST((*read)->findRoute("a.example", "/p/q")->name == "r");
@@ -78,25 +78,28 @@
     BOOST_TEST((*read)->findRoute("b.example", "/p/") == nullptr);
 }
 
-BOOST_AUTO_TEST_CASE(invalid_configurations_are_refused_and_say_why)
+BOOST_AUTO_TEST_CASE(invalid_configurations_are_rejected_with_a_reason)
 {
-    refuses("{", "no JSON");
-    refuses("[]", "no JSON object");
-    refuses(document(Route).substr(0, 150), "no JSON");
-    refuses(R"({"version":7,"routes":[]})", "services");
-    refuses(with(document(Route), "7", "\"7\""), "version");
-    refuses(document(with(Route, R"("service":"s1")", R"("service":"s9")")), "s9");
-    refuses(document(Route + "," + Route), "same host");
-    refuses(document(with(Route, R"("service":"s1")", R"("split":[{"service":"s1","weight":0}])")), "add up to 0");
-    refuses(document(with(Route, "4000", "0")), "time-out");
-    refuses(document(with(Route, "stream", "river")), "kind");
-    refuses(document(with(Route, "/p/", "/p")), "slash");
-    refuses(document(with(Route, "true", "1")), "retain");
-    refuses(
-        document(Route, R"(,"tenants":[{"name":"t","apiKeys":["k"]},{"name":"u","apiKeys":["k"]}])"), "share a key");
+    expectRejected("{", "not valid JSON");
+    expectRejected("[]", "not a JSON object");
+    expectRejected(configurationDocument(Route).substr(0, 150), "not valid JSON");
+    expectRejected(R"({"version":7,"routes":[]})", "services");
+    expectRejected(replaceFirst(configurationDocument(Route), "7", "\"7\""), "version");
+    expectRejected(configurationDocument(replaceFirst(Route, R"("service":"s1")", R"("service":"s9")")), "s9");
+    expectRejected(configurationDocument(Route + "," + Route), "same host");
+    expectRejected(
+        configurationDocument(replaceFirst(Route, R"("service":"s1")", R"("split":[{"service":"s1","weight":0}])")),
+        "add up to 0");
+    expectRejected(configurationDocument(replaceFirst(Route, "4000", "0")), "time-out");
+    expectRejected(configurationDocument(replaceFirst(Route, "stream", "river")), "kind");
+    expectRejected(configurationDocument(replaceFirst(Route, "/p/", "/p")), "slash");
+    expectRejected(configurationDocument(replaceFirst(Route, "true", "1")), "retain");
+    expectRejected(
+        configurationDocument(Route, R"(,"tenants":[{"name":"t","apiKeys":["k"]},{"name":"u","apiKeys":["k"]}])"),
+        "share a key");
 }
 
-BOOST_AUTO_TEST_CASE(settings_are_read_and_faults_named)
+BOOST_AUTO_TEST_CASE(settings_are_decoded_and_errors_name_the_field)
 {
     const std::string good = R"({"node":"n","ip":"10.1.0.3","zone":"z","innerPorts":[7780,7795],"dataDir":null,
         "seeds":["10.1.0.35:8367"],"bootstrap":true,"listen":{"front":"10.1.0.3:8368","ready":"10.1.0.3:8369"},
@@ -106,16 +109,16 @@
     BOOST_TEST(read->rpcAddress == "10.1.0.3:7780");
     BOOST_TEST(read->controlSeeds.front() == "10.1.0.35:7780");
     BOOST_TEST(read->isFirstStart);
-    BOOST_TEST(read->lossesToBear == 2U);
-    BOOST_TEST(read->stopGrace.count() == 6500000);
-    BOOST_TEST(read->dataFolder.empty());
-    const auto bad = readSettings(with(good, "innerPorts", "outerPorts"));
+    BOOST_TEST(read->toleratedLosses == 2U);
+    BOOST_TEST(read->gracePeriod.count() == 6500000);
+    BOOST_TEST(read->dataDirectory.empty());
+    const auto bad = readSettings(replaceFirst(good, "innerPorts", "outerPorts"));
     BOOST_REQUIRE(!bad.has_value());
     BOOST_TEST((bad.error().kind == ErrorKind::BadSetting));
     BOOST_TEST(bad.error().what.find("innerPorts") != std::string::npos);
 }
 
-BOOST_AUTO_TEST_CASE(entries_of_another_writer_name_no_endpoint_and_the_others_hold)
+BOOST_AUTO_TEST_CASE(malformed_list_entries_are_skipped)
 {
     const auto page = readEndpointPage(R"({"instances":[
         {"id":"i1","service":"s","addr":"1.2.3.4:5","zone":"z","slots":8,"state":"ready"},
@@ -133,12 +136,13 @@
     BOOST_TEST(!readEndpointPage("").has_value());
 }
 
-BOOST_AUTO_TEST_CASE(facts_of_a_call_are_read)
+BOOST_AUTO_TEST_CASE(request_metadata_is_decoded)
 {
-    const PlatformDialect dialect;
-    const auto metadata = dialect.readRequestMetadata(requestHead({{"x-request-id", "r1"}, {"X-Deadline-Ms", "3000"},
-        {"Authorization", "Bearer key"}, {"X-Program-Id", "p"}, {"X-Finish-Ms", "-5"}, {"X-Token-Budget", "2304"},
-        {"X-Token-Count", "1840,288"}, {"X-Previous-Turn", "r0"}, {"X-Prompt-Prefix", "a:1,b:2"}}));
+    const PlatformHeaderCodec headerCodec;
+    const auto metadata =
+        headerCodec.readRequestMetadata(requestHead({{"x-request-id", "r1"}, {"X-Deadline-Ms", "3000"},
+            {"Authorization", "Bearer key"}, {"X-Program-Id", "p"}, {"X-Finish-Ms", "-5"}, {"X-Token-Budget", "2304"},
+            {"X-Token-Count", "1840,288"}, {"X-Previous-Turn", "r0"}, {"X-Prompt-Prefix", "a:1,b:2"}}));
     BOOST_REQUIRE(metadata.has_value());
     BOOST_TEST(metadata->requestId == "r1");
     BOOST_TEST(metadata->key == "key");
@@ -147,13 +151,13 @@
     BOOST_TEST(*metadata->programTokens == 2304U);
     BOOST_TEST(metadata->outputTokens == 288U);
     BOOST_TEST(metadata->promptParts == 2U);
-    BOOST_TEST(!dialect.readRequestMetadata(requestHead({{"X-Deadline-Ms", "soon"}})).has_value());
-    BOOST_TEST(!dialect.readRequestMetadata(requestHead({{"X-Token-Count", "5"}})).has_value());
+    BOOST_TEST(!headerCodec.readRequestMetadata(requestHead({{"X-Deadline-Ms", "soon"}})).has_value());
+    BOOST_TEST(!headerCodec.readRequestMetadata(requestHead({{"X-Token-Count", "5"}})).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(the_head_for_an_endpoint_holds_no_key_and_only_our_own_orders)
+BOOST_AUTO_TEST_CASE(forwarded_head_has_no_key_and_no_client_supplied_control_fields)
 {
-    const PlatformDialect dialect;
+    const PlatformHeaderCodec headerCodec;
     ForwardingMetadata metadata;
     metadata.timeLeft = Milliseconds(250);
     metadata.endpointId = "i1";
@@ -161,7 +165,7 @@
     metadata.priority = 3;
     metadata.bodyBytes = 5;
     metadata.hasBody = true;
-    const RequestHead head = dialect.endpointRequestHead(
+    const RequestHead head = headerCodec.endpointRequestHead(
         requestHead({{"Host", "h"}, {"Authorization", "Bearer key"}, {"X-Tenant", "other"}, {"X-Kv-Hold", "1"},
             {"Kv-From", "1.2.3.4:5/6"}, {"x-pin-ms", "1"}, {"X-Kv-Backup", "a"}, {"Connection", "x-odd, close"},
             {"X-Odd", "1"}, {"Transfer-Encoding", "chunked"}, {"X-Own", "kept"}}),
@@ -178,16 +182,16 @@
     BOOST_TEST(head.target == "/p/1?q=2");
 }
 
-BOOST_AUTO_TEST_CASE(facts_of_an_answer_are_read)
+BOOST_AUTO_TEST_CASE(response_metadata_is_decoded)
 {
-    const PlatformDialect dialect;
+    const PlatformHeaderCodec headerCodec;
     ResponseHead head;
     head.fields.entries = {{"X-Request-Id", "r1"}, {"X-Response-Signature", "s"}, {"X-Load", "3,1,8"}};
-    const ResponseMetadata metadata = dialect.readResponseMetadata(head);
+    const ResponseMetadata metadata = headerCodec.readResponseMetadata(head);
     BOOST_TEST(metadata.isSigned);
     BOOST_TEST(!metadata.notExecuted);
     BOOST_TEST(metadata.load->waiting == 1U);
     head.fields.entries = {{"X-Not-Executed", "1"}, {"X-Load", "3,x,8"}};
-    BOOST_TEST(dialect.readResponseMetadata(head).notExecuted);
-    BOOST_TEST(!dialect.readResponseMetadata(head).load.has_value());
+    BOOST_TEST(headerCodec.readResponseMetadata(head).notExecuted);
+    BOOST_TEST(!headerCodec.readResponseMetadata(head).load.has_value());
 }
