--- a/src/gateway/gateway_base.cpp
+++ b/src/gateway/gateway_base.cpp
@@ -211,20 +211,20 @@
     if (this->pendingCreditRequest != nullptr || !this->watcher.isInTouch()) {
         return;
     }
-    auto asked = this->rateLimiter.creditRequests(this->now());
-    if (asked.empty()) {
+    auto requested = this->rateLimiter.creditRequests(this->now());
+    if (requested.empty()) {
         return;
     }
     auto reply = kj::evalNow([&]() {
-        return this->watcher.askCredit(asked);
+        return this->watcher.askCredit(requested);
     });
     auto fetch = reply
                      .then(
-                         [this, asked](std::map<std::string, std::uint32_t> &&granted) {
-                             this->rateLimiter.grant(this->now(), asked, granted);
+                         [this, requested](std::map<std::string, std::uint32_t> &&granted) {
+                             this->rateLimiter.grant(this->now(), requested, granted);
                          },
-                         [this, asked](kj::Exception &&exception) {
-                             this->rateLimiter.requestFailed(asked);
+                         [this, requested](kj::Exception &&exception) {
+                             this->rateLimiter.requestFailed(requested);
                              this->creditRetryAt = this->now() + CreditFailureBackoff;
                              logEvent(EventKind::FreshnessLost,
                                  {{"what", "credit"}, {"error", exception.getDescription().cStr()}});
--- a/src/gateway/rate_limiter_base.cpp
+++ b/src/gateway/rate_limiter_base.cpp
@@ -105,33 +105,33 @@
     return list;
 }
 
-void RateLimiter::grant(
-    Instant now, const std::map<std::string, CreditWish> &asked, const std::map<std::string, std::uint32_t> &granted)
+void RateLimiter::grant(Instant now, const std::map<std::string, CreditWish> &requested,
+    const std::map<std::string, std::uint32_t> &granted)
 {
-    for (const auto &[name, wish] : asked) {
+    for (const auto &[name, wish] : requested) {
         Account &account = this->accounts[name];
-        const auto entry = granted.find(name);
-        const std::uint32_t got = entry == granted.end() ? 0 : entry->second;
+        const auto grantedEntry = granted.find(name);
+        const std::uint32_t grantedCount = grantedEntry == granted.end() ? 0 : grantedEntry->second;
         account.requestPending = false;
-        const std::uint32_t forLate = got - std::min(got, wish.requests + wish.ahead);
-        account.credit += got - forLate;
-        account.lateCredit += forLate;
+        const std::uint32_t lateCount = grantedCount - std::min(grantedCount, wish.requests + wish.ahead);
+        account.credit += grantedCount - lateCount;
+        account.lateCredit += lateCount;
         account.grantedAt = now;
         account.firstRefusedClass.reset();
-        if (got < wish.requests) {
+        if (grantedCount < wish.requests) {
             account.firstRefusedClass = CreditClass::Ongoing;
-        } else if (got < wish.requests + wish.ahead) {
+        } else if (grantedCount < wish.requests + wish.ahead) {
             account.firstRefusedClass = CreditClass::NewProgram;
-        } else if (got < wish.sum()) {
+        } else if (grantedCount < wish.sum()) {
             account.firstRefusedClass = CreditClass::LateNewProgram;
         }
         account.refusedAt = now;
     }
 }
 
-void RateLimiter::requestFailed(const std::map<std::string, CreditWish> &asked)
+void RateLimiter::requestFailed(const std::map<std::string, CreditWish> &requested)
 {
-    for (const auto &[name, wish] : asked) {
+    for (const auto &[name, wish] : requested) {
         this->accounts[name].requestPending = false;
     }
 }
--- a/src/gateway/rate_limiter_base.h
+++ b/src/gateway/rate_limiter_base.h
@@ -38,11 +38,11 @@
 
     /** Credit to request from the leader now, by customer; empty if there is enough for all customers. */
     [[nodiscard]] std::map<std::string, CreditWish> creditRequests(Instant now);
-    /** Applies the leader's reply to the credit request @p asked. */
-    void grant(Instant now, const std::map<std::string, CreditWish> &asked,
+    /** Applies the leader's reply to the credit request @p requested. */
+    void grant(Instant now, const std::map<std::string, CreditWish> &requested,
         const std::map<std::string, std::uint32_t> &granted);
-    /** Records that the credit request @p asked got no reply. */
-    void requestFailed(const std::map<std::string, CreditWish> &asked);
+    /** Records that the credit request @p requested got no reply. */
+    void requestFailed(const std::map<std::string, CreditWish> &requested);
 
     /** Seconds after which a refused client should retry: the interval between two requests at the rate of @p customer,
      * within MinRetryAfterSeconds and MaxRetryAfterSeconds. */
--- a/tests/support/raw_server.cpp
+++ b/tests/support/raw_server.cpp
@@ -34,11 +34,11 @@
         const std::size_t end = bytes.find("\r\n\r\n");
         const std::size_t length = end == std::string::npos ? 0 : contentLengthOf(bytes.substr(0, end));
         if (end != std::string::npos && bytes.size() >= end + 4 + length) {
-            std::string answer = this->handler(bytes.substr(0, end + 2), bytes.substr(end + 4, length));
+            std::string response = this->handler(bytes.substr(0, end + 2), bytes.substr(end + 4, length));
             bytes.erase(0, end + 4 + length);
-            const bool closeAfterResponse = answer.ends_with(CloseMark);
-            answer.resize(answer.size() - (closeAfterResponse ? CloseMark.size() : 0));
-            connection.sendBytes(answer.data(), static_cast<int>(answer.size()));
+            const bool closeAfterResponse = response.ends_with(CloseMark);
+            response.resize(response.size() - (closeAfterResponse ? CloseMark.size() : 0));
+            connection.sendBytes(response.data(), static_cast<int>(response.size()));
             if (closeAfterResponse) {
                 return;
             }
@@ -68,9 +68,9 @@
         + extra + "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 
-std::string truncateAndClose(const std::string &answer, std::size_t bytes)
+std::string truncateAndClose(const std::string &response, std::size_t bytes)
 {
-    return answer.substr(0, answer.size() - bytes) + std::string(CloseMark);
+    return response.substr(0, response.size() - bytes) + std::string(CloseMark);
 }
 
 std::string sendRawRequest(
--- a/tests/support/raw_server.h
+++ b/tests/support/raw_server.h
@@ -40,8 +40,8 @@
 /** Signed response with status 200 to the request with @p head. */
 std::string signedResponse(const std::string &head, const std::string &body, const std::string &extra = "");
 
-/** @p answer without its last @p bytes, followed by the close of the connection. */
-std::string truncateAndClose(const std::string &answer, std::size_t bytes);
+/** @p response without its last @p bytes, followed by the close of the connection. */
+std::string truncateAndClose(const std::string &response, std::size_t bytes);
 
 /** Sends @p request to @p address on a new connection. @return all bytes received until the connection closes or stays
  * idle for @p idleTimeout. @throws Poco::Exception if the connection fails. */
