--- a/bench/capacity_bench.cpp
+++ b/bench/capacity_bench.cpp
@@ -20,7 +20,7 @@
 #include "capacity_slope.h"
 #include "consensus/raft_storage_base.h"
 #include "core/hash_func.h"
-#include "endpoint/instance_list_base.h"
+#include "endpoint/endpoint_list_base.h"
 #include "entry/fleet_follower_base.h"
 #include "fleet/fleet_base.h"
 #include "program/journal_base.h"
@@ -414,12 +414,12 @@
     const Testing::ChildProcess platform("chestnuthook-fakes",
         {"platform", "--listen=" + address, "--endpoints=" + endpoints, "--list_lag_ms=0"}, folder.path + "/log");
     Testing::waitUntil([&]() {
-        return fetchInstances(address).has_value();
+        return fetchEndpointList(address).has_value();
     });
     printSlope("list_bytes_per_endpoint",
         static_cast<double>(Testing::http(address, "GET", "/v1/instances").body.size()) / Endpoints);
     printSlope("list_us_per_endpoint", processorUsOf(10, [&](int) {
-        static_cast<void>(fetchInstances(address));
+        static_cast<void>(fetchEndpointList(address));
     }) / Endpoints);
 }
 
--- a/src/endpoint/instance_list_base.cpp
+++ b/src/endpoint/endpoint_list_base.cpp
@@ -1,5 +1,5 @@
-/** @file instance_list_base.cpp  Fetches and decodes the platform's list of endpoints. */
-#include "endpoint/instance_list_base.h"
+/** @file endpoint_list_base.cpp  Fetches and decodes the platform's list of endpoints. */
+#include "endpoint/endpoint_list_base.h"
 
 #include <Poco/JSON/Array.h>
 #include <Poco/JSON/Object.h>
@@ -29,7 +29,7 @@
 
 } // namespace
 
-Result<EndpointList> fetchInstances(const std::string &address)
+Result<EndpointList> fetchEndpointList(const std::string &address)
 {
     AttemptRequest request;
     request.address = address;
--- a/src/endpoint/instance_list_base.h
+++ b/src/endpoint/endpoint_list_base.h
@@ -1,4 +1,4 @@
-/** @file instance_list_base.h  Reads the platform's list of endpoints. The list is polled, so it lags behind the actual
+/** @file endpoint_list_base.h  Reads the platform's list of endpoints. The list is polled, so it lags behind the actual
  * state. */
 #pragma once
 
@@ -28,6 +28,6 @@
 using EndpointList = std::vector<ListedEndpoint>;
 
 /** Fetches the list once from the platform at @p address. Blocks the calling thread. Errors: NoEndpoint. */
-[[nodiscard]] Result<EndpointList> fetchInstances(const std::string &address);
+[[nodiscard]] Result<EndpointList> fetchEndpointList(const std::string &address);
 
 } // namespace Chestnuthook
--- a/src/entry/dispatch_demand_type.h
+++ b/src/entry/dispatch_demand_type.h
@@ -6,7 +6,7 @@
 #include <vector>
 
 #include "core/id_type.h"
-#include "endpoint/instance_list_base.h"
+#include "endpoint/endpoint_list_base.h"
 
 namespace Chestnuthook
 {
--- a/src/entry/entry_context_type.h
+++ b/src/entry/entry_context_type.h
@@ -5,7 +5,7 @@
 
 #include "core/id_type.h"
 #include "endpoint/attempt_deadline_base.h"
-#include "endpoint/instance_list_base.h"
+#include "endpoint/endpoint_list_base.h"
 #include "entry/admission_gate_base.h"
 #include "entry/dispatch_base.h"
 #include "entry/fleet_follower_base.h"
--- a/src/entry/entry_daemon_base.cpp
+++ b/src/entry/entry_daemon_base.cpp
@@ -155,7 +155,7 @@
     this->polling = true;
     this->listThread = std::thread([this]() {
         while (this->polling) {
-            if (auto list = fetchInstances(this->settings.platform)) {
+            if (auto list = fetchEndpointList(this->settings.platform)) {
                 this->context.dispatch.setEndpoints(std::make_shared<const EndpointList>(std::move(*list)));
             }
             std::this_thread::sleep_for(ListPollPeriod);
