--- a/tests/unit/platform_decode_test.cpp
+++ b/tests/unit/platform_decode_test.cpp
@@ -109,7 +109,7 @@
     BOOST_TEST(read->rpcAddress == "10.1.0.3:7780");
     BOOST_TEST(read->controlSeeds.front() == "10.1.0.35:7780");
     BOOST_TEST(read->isFirstStart);
-    BOOST_TEST(read->toleratedLosses == 2U);
+    BOOST_TEST(read->toleratedFailures == 2U);
     BOOST_TEST(read->gracePeriod.count() == 6500000);
     BOOST_TEST(read->dataDirectory.empty());
     const auto bad = readSettings(replaceFirst(good, "innerPorts", "outerPorts"));
