--- a/src/http/http_reader_base.h
+++ b/src/http/http_reader_base.h
@@ -60,7 +60,7 @@
     }
 
 private:
-    kj::AsyncIoStream &stream; ///< Outlives this.
+    kj::AsyncIoStream &stream; ///< Must outlive this object.
     std::string buffer; ///< Received bytes; the first `consumed` ones are already parsed.
     std::size_t consumed = 0; ///< Number of parsed bytes at the start of `buffer`.
     std::unique_ptr<char[]> readBuffer; ///< Destination of the pending read.
