--- a/src/deployment/configuration_type.cpp
+++ b/src/deployment/configuration_type.cpp
@@ -12,7 +12,7 @@
 namespace
 {
 
-Result<void> checkRoute(const RouteRule &route, const std::map<std::string, ServiceRule> &services)
+Result<void> checkRoute(const RouteConfig &route, const std::map<std::string, ServiceConfig> &services)
 {
     const std::string where = "route " + route.name + ": ";
     if (route.pathPrefix.empty() || route.pathPrefix.front() != '/' || route.pathPrefix.back() != '/') {
@@ -36,11 +36,11 @@
 
 } // namespace
 
-Result<void> Configuration::complete()
+Result<void> Configuration::finalize()
 {
     std::set<std::pair<std::string, std::string>> places;
     for (std::size_t i = 0; i < this->routes.size(); ++i) {
-        const RouteRule &route = this->routes[i];
+        const RouteConfig &route = this->routes[i];
         Result<void> checked = checkRoute(route, this->services);
         if (!checked) {
             return checked;
@@ -58,7 +58,7 @@
     }
     std::set<std::string> names;
     for (std::size_t i = 0; i < this->customers.size(); ++i) {
-        const CustomerRule &customer = this->customers[i];
+        const CustomerConfig &customer = this->customers[i];
         if (!names.insert(customer.name).second) {
             return fail(ErrorKind::BadDeclaration, "two customers are called " + customer.name);
         }
@@ -73,7 +73,7 @@
     return {};
 }
 
-const RouteRule *Configuration::findRoute(std::string_view host, std::string_view path) const
+const RouteConfig *Configuration::findRoute(std::string_view host, std::string_view path) const
 {
     const std::string name = Poco::toLower(std::string(host.substr(0, host.find(':'))));
     const auto indexes = this->routesByHost.find(name);
@@ -88,7 +88,7 @@
     return nullptr;
 }
 
-const CustomerRule *Configuration::findCustomer(const std::string &key) const
+const CustomerConfig *Configuration::findCustomer(const std::string &key) const
 {
     const auto found = this->customerByKey.find(key);
     return found == this->customerByKey.end() ? nullptr : &this->customers[found->second];
--- a/src/deployment/configuration_type.h
+++ b/src/deployment/configuration_type.h
@@ -43,7 +43,7 @@
     std::uint64_t weight = 1; ///< Share of the requests, relative to the other targets.
 };
 
-struct RouteRule
+struct RouteConfig
 {
     std::string name; ///< For people.
     std::string host; ///< Lower case.
@@ -54,25 +54,25 @@
     int priority = 0; ///< 0 is the most urgent.
     std::vector<RouteTarget> targets; ///< At least one.
     unsigned maxAttempts = 1; ///< Endpoints that one request may be sent to.
-    bool keepsTurns = false; ///< Turns are kept and continued by their id.
+    bool retainsTurns = false; ///< Turns are kept and continued by their id.
     std::chrono::duration<double> retention{0}; ///< How long turns are kept.
-    bool isOpen = false; ///< Needs no key.
+    bool isPublic = false; ///< Needs no key.
     bool resumable = false; ///< A stream may go on at another endpoint.
 };
 
 /** Facts of the engines of a service. */
-struct EngineFacts
+struct EngineConfig
 {
     unsigned tokensPerEvent = 1; ///< Tokens in each event of a stream.
 };
 
-struct ServiceRule
+struct ServiceConfig
 {
     std::string name; ///< Unique.
-    std::optional<EngineFacts> engine; ///< Set where it is a model service.
+    std::optional<EngineConfig> engine; ///< Set where it is a model service.
 };
 
-struct CustomerRule
+struct CustomerConfig
 {
     std::string name; ///< Unique.
     std::vector<std::string> keys; ///< Secrets that callers show.
@@ -82,7 +82,7 @@
 };
 
 /** Bounds of what callers may send. */
-struct CallerLimits
+struct ClientLimits
 {
     std::size_t maxHeaderBytes = 16384; ///< Request line and fields.
     std::size_t maxBodyBytes = 4U << 20U; ///< Body of one request.
@@ -95,18 +95,18 @@
 {
 public:
     std::uint64_t version = 0; ///< Grows with each change.
-    std::vector<RouteRule> routes; ///< In the operator's order.
-    std::map<std::string, ServiceRule> services; ///< By name.
-    std::vector<CustomerRule> customers; ///< Empty where no keys are asked for.
-    CallerLimits limits; ///< For callers.
+    std::vector<RouteConfig> routes; ///< In the operator's order.
+    std::map<std::string, ServiceConfig> services; ///< By name.
+    std::vector<CustomerConfig> customers; ///< Empty where no keys are asked for.
+    ClientLimits limits; ///< For callers.
 
     /** Builds the tables for the lookups below; tells what makes the configuration invalid (BadDeclaration). */
-    [[nodiscard]] Result<void> complete();
+    [[nodiscard]] Result<void> finalize();
 
     /** The route with the longest prefix; null where none matches. */
-    [[nodiscard]] const RouteRule *findRoute(std::string_view host, std::string_view path) const;
+    [[nodiscard]] const RouteConfig *findRoute(std::string_view host, std::string_view path) const;
     /** Null where no customer holds @p key. */
-    [[nodiscard]] const CustomerRule *findCustomer(const std::string &key) const;
+    [[nodiscard]] const CustomerConfig *findCustomer(const std::string &key) const;
 
 private:
     std::unordered_map<std::string, std::vector<std::size_t>> routesByHost; ///< Longest prefix first.
--- a/src/deployment/credit_pool_base.cpp
+++ b/src/deployment/credit_pool_base.cpp
@@ -26,7 +26,7 @@
     this->heardShare = std::clamp(1 + IsolatedMargin - silentPart, 0.0, 1.0);
 }
 
-std::uint32_t CreditPool::take(Instant now, const CustomerRule &customer, const CreditWish &wish)
+std::uint32_t CreditPool::take(Instant now, const CustomerConfig &customer, const CreditRequest &wish)
 {
     if (customer.ratePerSecond <= 0) {
         return wish.sum();
--- a/src/deployment/credit_pool_base.h
+++ b/src/deployment/credit_pool_base.h
@@ -12,7 +12,7 @@
 {
 
 /** What a gateway asks for one customer. */
-struct CreditWish
+struct CreditRequest
 {
     std::uint32_t requests = 0; ///< Of programs under way, and single requests.
     std::uint32_t ahead = 0; ///< Of new programs, and ahead of need.
@@ -34,7 +34,7 @@
     /** @return how many of the requests that @p wish names may be admitted, those of programs under way first. A new
      * program takes many requests after its first, so that none begins while less than ReservePart of the burst is left
      * for those under way, and one that can hardly end in time only where others don't need the credit. */
-    std::uint32_t take(Instant now, const CustomerRule &customer, const CreditWish &wish);
+    std::uint32_t take(Instant now, const CustomerConfig &customer, const CreditRequest &wish);
 
     static constexpr double ReservePart = 0.4; ///< Of the burst; what is left when new programs are refused.
     static constexpr double LateReservePart = 0.9; ///< Of the burst; what is left when late new ones are refused.
--- a/src/deployment/deployment_member_base.cpp
+++ b/src/deployment/deployment_member_base.cpp
@@ -34,7 +34,7 @@
     replica.address = address;
     replica.raft.electionTicks = ElectionTicks;
     replica.raft.heartbeatTicks = HeartbeatTicks;
-    replica.join = !settings.isFirstStart || !isSeed;
+    replica.join = !settings.isBootstrap || !isSeed;
     for (const std::string &seed : seeds) {
         replica.initialMembers[seed] = seed;
     }
@@ -67,7 +67,7 @@
         for (unsigned i = 0; i < wanted.size(); ++i) {
             granted[i].setCustomer(wanted[i].getCustomer());
             granted[i].setRequests(this->member.takeCredit(textOf(wanted[i].getCustomer()),
-                CreditWish{wanted[i].getRequests(), wanted[i].getAhead(), wanted[i].getLate()}));
+                CreditRequest{wanted[i].getRequests(), wanted[i].getAhead(), wanted[i].getLate()}));
         }
         return kj::READY_NOW;
     }
@@ -76,7 +76,7 @@
     DeploymentMember &member; ///< Outlives this.
 };
 
-InstanceFacts readFacts(Wire::InstanceReport::Reader report)
+InstanceInfo readFacts(Wire::InstanceReport::Reader report)
 {
     return {textOf(report.getName()), report.getRole(), textOf(report.getDataCentre()),
         textOf(report.getCallerAddress()), textOf(report.getRpcAddress()), textOf(report.getIdentity()),
@@ -86,7 +86,7 @@
 } // namespace
 
 DeploymentMember::DeploymentMember(ControlLoop &loop, DeploymentMemberSettings settings,
-    ConfigurationReader readConfiguration, EndpointSource &endpointSource)
+    ConfigurationParser readConfiguration, EndpointSource &endpointSource)
     : node(loop, replicaSettings(settings))
     , loop(loop)
     , settings(std::move(settings))
@@ -112,7 +112,7 @@
         this->beginLeading();
     };
     this->node.start();
-    this->watcher.describe = [this]() {
+    this->watcher.describeSelf = [this]() {
         return this->settings.self;
     };
     this->watcher.isPaused = [this]() {
@@ -132,7 +132,7 @@
     const Instant now = this->loop.timers().now();
     this->ledTerm = this->node.term();
     this->leadingSince = now;
-    this->board = InstanceBoard();
+    this->board = InstanceRegistry();
     this->board.adopt(now, this->watcher.view.instances);
     this->board.note(now, this->settings.self, 0);
     this->instancesVersion = 1;
@@ -196,7 +196,7 @@
     const DeploymentState &state = this->group.machine;
     const Instant now = this->loop.timers().now();
     const auto candidates = this->board.historyCandidates(now, state.view, state.retiring, this->leadingSince);
-    const std::size_t wanted = 2U * this->settings.lossesToBear + 1; // A majority of them outlives the losses.
+    const std::size_t wanted = 2U * this->settings.toleratedFailures + 1; // A majority of them outlives the losses.
     auto plan = planHistoryView(state.view, candidates, wanted);
     if (!plan || this->changingView) {
         return;
@@ -229,7 +229,7 @@
             isSelf ? Duration(0) : now - std::max(heard, this->leadingSince)});
     }
     std::vector<GroupCandidate> alive;
-    for (const InstanceFacts &one : this->board.alive()) {
+    for (const InstanceInfo &one : this->board.alive()) {
         if (one.role == Wire::InstanceRole::CONTROL && !one.identity.empty()) {
             alive.push_back({one.identity, one.rpcAddress});
         }
@@ -361,7 +361,7 @@
             list[i].setName(wireText(alive[i].name));
             list[i].setRole(alive[i].role);
             list[i].setDataCentre(wireText(alive[i].dataCentre));
-            list[i].setCallerAddress(wireText(alive[i].callerAddress));
+            list[i].setCallerAddress(wireText(alive[i].clientAddress));
             list[i].setRpcAddress(wireText(alive[i].rpcAddress));
             list[i].setReady(alive[i].ready);
             list[i].setIdentity(wireText(alive[i].identity));
@@ -380,14 +380,14 @@
     }
 }
 
-std::uint32_t DeploymentMember::takeCredit(const std::string &customer, const CreditWish &wish)
+std::uint32_t DeploymentMember::takeCredit(const std::string &customer, const CreditRequest &wish)
 {
     this->refreshConfiguration();
     if (!this->leads() || this->configuration == nullptr) {
         return 0;
     }
     const auto &customers = this->configuration->customers;
-    const auto rule = std::find_if(customers.begin(), customers.end(), [&customer](const CustomerRule &one) {
+    const auto rule = std::find_if(customers.begin(), customers.end(), [&customer](const CustomerConfig &one) {
         return one.name == customer;
     });
     return rule == customers.end() ? 0 : this->credits.take(this->loop.timers().now(), *rule, wish);
@@ -471,18 +471,18 @@
     });
 }
 
-std::string DeploymentMember::leaderForOperators() const
+std::string DeploymentMember::leaderOperatorAddress() const
 {
     const std::string address = this->node.leaderAddress();
-    for (const InstanceFacts &instance : this->watcher.view.instances) {
+    for (const InstanceInfo &instance : this->watcher.view.instances) {
         if (instance.rpcAddress == address && address != this->settings.self.rpcAddress) {
-            return instance.callerAddress;
+            return instance.clientAddress;
         }
     }
     return {};
 }
 
-std::vector<InstanceFacts> DeploymentMember::instances() const
+std::vector<InstanceInfo> DeploymentMember::instances() const
 {
     return this->leads() ? this->board.alive() : this->watcher.view.instances;
 }
--- a/src/deployment/deployment_member_base.h
+++ b/src/deployment/deployment_member_base.h
@@ -15,20 +15,20 @@
 #include "deployment/deployment_state_base.h"
 #include "deployment/deployment_watcher_base.h"
 #include "deployment/endpoint_list_type.h"
-#include "deployment/instance_board_base.h"
-#include "deployment/strike_board_base.h"
+#include "deployment/instance_registry_base.h"
+#include "deployment/strike_tracker_base.h"
 
 namespace Chestnuthook
 {
 
-using ConfigurationReader = std::function<Result<ConfigurationPtr>(const std::string &document)>;
+using ConfigurationParser = std::function<Result<ConfigurationPtr>(const std::string &document)>;
 
 struct DeploymentMemberSettings
 {
-    InstanceFacts self; ///< This daemon; its identity is filled in when the folder is open.
+    InstanceInfo self; ///< This daemon; its identity is filled in when the folder is open.
     std::vector<std::string> seeds; ///< RPC addresses of control members.
-    unsigned lossesToBear = 1; ///< Instances with a disk that may be lost at once.
-    bool isFirstStart = false; ///< The whole deployment starts for the first time: its seeds found the group.
+    unsigned toleratedFailures = 1; ///< Instances with a disk that may be lost at once.
+    bool isBootstrap = false; ///< The whole deployment starts for the first time: its seeds found the group.
 };
 
 /** State of a history instance that is to be emptied. */
@@ -38,7 +38,7 @@
 class DeploymentMember
 {
 public:
-    DeploymentMember(ControlLoop &loop, DeploymentMemberSettings settings, ConfigurationReader readConfiguration,
+    DeploymentMember(ControlLoop &loop, DeploymentMemberSettings settings, ConfigurationParser readConfiguration,
         EndpointSource &endpointSource);
 
     /** Errors: StorageFailed, StorageCorrupt. */
@@ -60,9 +60,9 @@
     [[nodiscard]] kj::Promise<LateResult<RetireState>> retireState(std::string instance);
 
     /** Address for operators of the leading member; empty where unknown or this one. */
-    [[nodiscard]] std::string leaderForOperators() const;
+    [[nodiscard]] std::string leaderOperatorAddress() const;
     /** Daemons that live, as far as known here. */
-    [[nodiscard]] std::vector<InstanceFacts> instances() const;
+    [[nodiscard]] std::vector<InstanceInfo> instances() const;
 
     /** The capability for other daemons. */
     [[nodiscard]] Wire::Deployment::Client makeService();
@@ -75,7 +75,7 @@
     {
         return this->node.isLeader();
     }
-    [[nodiscard]] std::uint32_t takeCredit(const std::string &customer, const CreditWish &wish);
+    [[nodiscard]] std::uint32_t takeCredit(const std::string &customer, const CreditRequest &wish);
 
     ReplicaNode node; ///< The replicated log.
 
@@ -92,7 +92,7 @@
 
     ControlLoop &loop; ///< Outlives this.
     DeploymentMemberSettings settings; ///< As given.
-    ConfigurationReader readDocument; ///< Decodes a configuration.
+    ConfigurationParser readDocument; ///< Decodes a configuration.
     EndpointSource &endpointSource; ///< The platform's list; outlives this.
     ReplicaGroup<DeploymentState> group; ///< The replicated state.
     DeploymentWatcher watcher; ///< Used while another member leads.
@@ -100,12 +100,12 @@
     // What follows is kept while this member leads; versions count under its term.
     std::uint64_t ledTerm = 0; ///< Term that it is kept for.
     Instant leadingSince{0}; ///< When that began.
-    InstanceBoard board; ///< Who lives.
+    InstanceRegistry board; ///< Who lives.
     std::uint64_t instancesVersion = 0; ///< Of `board`.
     std::vector<DeployedEndpoint> endpoints; ///< Last list.
     std::uint64_t endpointsVersion = 0; ///< 0 until one was read in this term.
     bool readingEndpoints = false; ///< A read is under way.
-    StrikeBoard strikes; ///< Requests that bring endpoints down.
+    StrikeTracker strikes; ///< Requests that bring endpoints down.
     std::uint64_t quarantineVersion = 0; ///< Of what `strikes` refuses.
     CreditPool credits; ///< Rates of the customers.
     bool changingGroup = false; ///< A change of the control members is under way.
--- a/src/deployment/deployment_watcher_base.cpp
+++ b/src/deployment/deployment_watcher_base.cpp
@@ -24,7 +24,7 @@
     this->loop.detach(this->run());
 }
 
-void DeploymentWatcher::reportSoon()
+void DeploymentWatcher::reportNow()
 {
     this->reportWanted = true;
     if (this->interrupt.get() != nullptr) {
@@ -32,14 +32,14 @@
     }
 }
 
-bool DeploymentWatcher::isInTouch() const
+bool DeploymentWatcher::hasLeaderContact() const
 {
     return this->view.term != 0 && this->loop.timers().now() - this->answered < OutOfTouchAfter;
 }
 
-std::vector<InstanceFacts> DeploymentWatcher::currentInstances() const
+std::vector<InstanceInfo> DeploymentWatcher::currentInstances() const
 {
-    return this->isInTouch() ? this->view.instances : std::vector<InstanceFacts>();
+    return this->hasLeaderContact() ? this->view.instances : std::vector<InstanceInfo>();
 }
 
 RpcLink &DeploymentWatcher::linkTo(const std::string &address)
@@ -54,7 +54,7 @@
 void DeploymentWatcher::tryNext()
 {
     std::vector<std::string> known;
-    for (const InstanceFacts &instance : this->view.instances) {
+    for (const InstanceInfo &instance : this->view.instances) {
         if (instance.role == Wire::InstanceRole::CONTROL) {
             known.push_back(instance.rpcAddress);
         }
@@ -98,12 +98,12 @@
 {
     auto called = this->linkTo(this->target).services().then([this](OfferedServices &&services) {
         auto request = services.deployment.castAs<Wire::Deployment>().watchRequest();
-        const InstanceFacts facts = this->describe();
+        const InstanceInfo facts = this->describeSelf();
         auto report = request.initReport();
         report.setName(wireText(facts.name));
         report.setRole(facts.role);
         report.setDataCentre(wireText(facts.dataCentre));
-        report.setCallerAddress(wireText(facts.callerAddress));
+        report.setCallerAddress(wireText(facts.clientAddress));
         report.setRpcAddress(wireText(facts.rpcAddress));
         report.setIdentity(wireText(facts.identity));
         report.setReady(facts.ready);
@@ -205,13 +205,13 @@
     }
 }
 
-kj::Promise<std::map<std::string, std::uint32_t>> DeploymentWatcher::askCredit(
-    const std::map<std::string, CreditWish> &wanted)
+kj::Promise<std::map<std::string, std::uint32_t>> DeploymentWatcher::requestCredit(
+    const std::map<std::string, CreditRequest> &wanted)
 {
     KJ_REQUIRE(!this->view.leader.empty(), "no leader is known");
     auto called = this->linkTo(this->view.leader).services().then([this, wanted](OfferedServices &&services) {
         auto request = services.deployment.castAs<Wire::Deployment>().creditRequest();
-        request.setInstance(wireText(this->describe().name));
+        request.setInstance(wireText(this->describeSelf().name));
         auto list = request.initWanted(static_cast<unsigned>(wanted.size()));
         unsigned at = 0;
         for (const auto &[customer, wish] : wanted) {
--- a/src/deployment/deployment_watcher_base.h
+++ b/src/deployment/deployment_watcher_base.h
@@ -14,8 +14,8 @@
 #include "deployment/credit_pool_base.h"
 #include "deployment/endpoint_list_type.h"
 #include "deployment/history_view_type.h"
-#include "deployment/instance_board_base.h"
-#include "deployment/strike_board_base.h"
+#include "deployment/instance_registry_base.h"
+#include "deployment/strike_tracker_base.h"
 #include "rpc/control_loop_base.h"
 
 namespace Chestnuthook
@@ -29,7 +29,7 @@
     std::uint64_t configurationVersion = 0; ///< Never falls.
     std::string document; ///< Configuration of that version.
     std::vector<DeployedEndpoint> endpoints; ///< Last list that was told.
-    std::vector<InstanceFacts> instances; ///< Those that live.
+    std::vector<InstanceInfo> instances; ///< Those that live.
     std::set<std::uint64_t> quarantine; ///< Fingerprints of requests that crash endpoints.
     HistoryView history; ///< Its version never falls.
 };
@@ -57,18 +57,18 @@
         this->seeds = std::move(addresses);
     }
     /** Reports at once, without waiting for the watch that is under way. */
-    void reportSoon();
+    void reportNow();
 
     /** Calls credit at the leader. The promise fails where it doesn't answer or no longer leads. */
-    [[nodiscard]] kj::Promise<std::map<std::string, std::uint32_t>> askCredit(
-        const std::map<std::string, CreditWish> &wanted);
+    [[nodiscard]] kj::Promise<std::map<std::string, std::uint32_t>> requestCredit(
+        const std::map<std::string, CreditRequest> &wanted);
 
     /** Whether a leader has answered lately. */
-    [[nodiscard]] bool isInTouch() const;
+    [[nodiscard]] bool hasLeaderContact() const;
     /** Daemons that live; none while out of touch, since an old list names some that are down. */
-    [[nodiscard]] std::vector<InstanceFacts> currentInstances() const;
+    [[nodiscard]] std::vector<InstanceInfo> currentInstances() const;
 
-    std::function<InstanceFacts()> describe; ///< This daemon as it is now; set before `start`.
+    std::function<InstanceInfo()> describeSelf; ///< This daemon as it is now; set before `start`.
     std::function<std::uint64_t()> copiedView; ///< May be empty.
     std::function<std::vector<EndpointStrike>()> takeStrikes; ///< May be empty.
     std::function<bool()> isPaused; ///< While true nothing is watched: this daemon leads. May be empty.
--- a/src/deployment/instance_board_base.cpp
+++ b/src/deployment/instance_registry_base.cpp
@@ -1,5 +1,5 @@
-/** @file instance_board_base.cpp  Reports of daemons, and their silence. */
-#include "deployment/instance_board_base.h"
+/** @file instance_registry_base.cpp  Reports of daemons, and their silence. */
+#include "deployment/instance_registry_base.h"
 
 #include <algorithm>
 #include <optional>
@@ -7,26 +7,26 @@
 namespace Chestnuthook
 {
 
-std::vector<InstanceFacts> gatewaysFor(std::vector<InstanceFacts> instances, const std::string &dataCentre)
+std::vector<InstanceInfo> selectGateways(std::vector<InstanceInfo> instances, const std::string &dataCentre)
 {
-    std::erase_if(instances, [](const InstanceFacts &one) {
+    std::erase_if(instances, [](const InstanceInfo &one) {
         return one.role != Wire::InstanceRole::GATEWAY || !one.ready;
     });
-    std::stable_partition(instances.begin(), instances.end(), [&dataCentre](const InstanceFacts &one) {
+    std::stable_partition(instances.begin(), instances.end(), [&dataCentre](const InstanceInfo &one) {
         return one.dataCentre == dataCentre;
     });
     instances.resize(std::min(instances.size(), MostGateways));
     return instances;
 }
 
-Duration gatewayListLife(Duration stopGrace)
+Duration gatewayListTtl(Duration stopGrace)
 {
     constexpr Duration Most = std::chrono::seconds(2); // A new gateway should not wait longer for its callers.
-    constexpr int StopParts = 4; // ListLifeOverrun of them for callers, one to finish in.
+    constexpr int StopParts = 4; // MaxTtlOverrunFactor of them for callers, one to finish in.
     return std::min(Most, Duration(stopGrace / StopParts));
 }
 
-bool InstanceBoard::note(Instant now, const InstanceFacts &facts, std::uint64_t copiedView)
+bool InstanceRegistry::note(Instant now, const InstanceInfo &facts, std::uint64_t copiedView)
 {
     Known &entry = this->known[facts.name];
     const bool changed = !entry.alive || entry.facts != facts;
@@ -34,14 +34,14 @@
     return changed;
 }
 
-void InstanceBoard::adopt(Instant now, const std::vector<InstanceFacts> &facts)
+void InstanceRegistry::adopt(Instant now, const std::vector<InstanceInfo> &facts)
 {
-    for (const InstanceFacts &one : facts) {
+    for (const InstanceInfo &one : facts) {
         this->known.try_emplace(one.name, Known{one, now, 0, true});
     }
 }
 
-bool InstanceBoard::expire(Instant now)
+bool InstanceRegistry::expire(Instant now)
 {
     bool changed = false;
     for (auto &[name, entry] : this->known) {
@@ -56,9 +56,9 @@
     return changed;
 }
 
-std::vector<InstanceFacts> InstanceBoard::alive() const
+std::vector<InstanceInfo> InstanceRegistry::alive() const
 {
-    std::vector<InstanceFacts> list;
+    std::vector<InstanceInfo> list;
     for (const auto &[name, entry] : this->known) {
         if (entry.alive) {
             list.push_back(entry.facts);
@@ -67,7 +67,7 @@
     return list;
 }
 
-std::pair<std::size_t, std::size_t> InstanceBoard::gatewaysAndSilent() const
+std::pair<std::size_t, std::size_t> InstanceRegistry::gatewaysAndSilent() const
 {
     std::size_t all = 0;
     std::size_t silent = 0;
@@ -80,7 +80,7 @@
     return {all, silent};
 }
 
-std::vector<HistoryCandidate> InstanceBoard::historyCandidates(
+std::vector<HistoryCandidate> InstanceRegistry::historyCandidates(
     Instant now, const HistoryView &view, const std::set<std::string> &retiring, Instant leadingSince) const
 {
     std::vector<HistoryCandidate> list;
@@ -112,7 +112,7 @@
     return list;
 }
 
-std::optional<Instant> InstanceBoard::heardControl(const std::string &identity) const
+std::optional<Instant> InstanceRegistry::heardControl(const std::string &identity) const
 {
     for (const auto &[name, entry] : this->known) {
         if (entry.facts.role == Wire::InstanceRole::CONTROL && entry.facts.identity == identity) {
--- a/src/deployment/strike_board_base.cpp
+++ b/src/deployment/strike_tracker_base.cpp
@@ -1,17 +1,17 @@
-/** @file strike_board_base.cpp  Strikes of requests. */
-#include "deployment/strike_board_base.h"
+/** @file strike_tracker_base.cpp  Strikes of requests. */
+#include "deployment/strike_tracker_base.h"
 
 namespace Chestnuthook
 {
 
-bool StrikeBoard::note(Instant now, const EndpointStrike &strike)
+bool StrikeTracker::note(Instant now, const EndpointStrike &strike)
 {
     Entry &entry = this->entries[strike.fingerprint];
     entry.last = now;
     return entry.endpoints.insert(strike.endpoint).second && entry.endpoints.size() == MostEndpoints;
 }
 
-bool StrikeBoard::expire(Instant now)
+bool StrikeTracker::expire(Instant now)
 {
     bool ended = false;
     std::erase_if(this->entries, [now, &ended](const auto &row) {
@@ -22,7 +22,7 @@
     return ended;
 }
 
-std::set<std::uint64_t> StrikeBoard::refused() const
+std::set<std::uint64_t> StrikeTracker::refused() const
 {
     std::set<std::uint64_t> list;
     for (const auto &[fingerprint, entry] : this->entries) {
--- a/src/deployment/strike_board_base.h
+++ b/src/deployment/strike_tracker_base.h
@@ -1,4 +1,4 @@
-/** @file strike_board_base.h  Requests that bring endpoints down, told from those that were only there. Pure. */
+/** @file strike_tracker_base.h  Requests that bring endpoints down, told from those that were only there. Pure. */
 #pragma once
 
 #include <cstdint>
@@ -19,7 +19,7 @@
 };
 
 /** At the leader. Several requests with one fingerprint at one endpoint count once, since a crash hits all of them. */
-class StrikeBoard
+class StrikeTracker
 {
 public:
     static constexpr std::size_t MostEndpoints = 3; ///< That a request may bring down before it is refused.
--- a/src/gateway/credit_share_base.cpp
+++ b/src/gateway/credit_share_base.cpp
@@ -8,7 +8,7 @@
 namespace Chestnuthook
 {
 
-double CreditShare::retryAfterSeconds(const CustomerRule &customer)
+double CreditShare::retryAfterSeconds(const CustomerConfig &customer)
 {
     return customer.ratePerSecond <= 0 ? LeastRetrySeconds
                                        : std::clamp(1 / customer.ratePerSecond, LeastRetrySeconds, MostRetrySeconds);
@@ -35,7 +35,7 @@
 }
 
 CreditAnswer CreditShare::take(
-    Instant now, const CustomerRule &customer, CreditUse use, bool inTouch, std::size_t gateways)
+    Instant now, const CustomerConfig &customer, CreditUse use, bool inTouch, std::size_t gateways)
 {
     if (customer.ratePerSecond <= 0) {
         return CreditAnswer::Admitted;
@@ -81,9 +81,9 @@
     return CreditAnswer::Admitted;
 }
 
-std::map<std::string, CreditWish> CreditShare::wanted(Instant now)
+std::map<std::string, CreditRequest> CreditShare::wanted(Instant now)
 {
-    std::map<std::string, CreditWish> list;
+    std::map<std::string, CreditRequest> list;
     for (auto &[name, account] : this->accounts) {
         if (account.asked) {
             continue;
@@ -95,7 +95,7 @@
         if (account.waiting.sum() == 0 && !isLow) {
             continue;
         }
-        CreditWish wish = std::exchange(account.waiting, {});
+        CreditRequest wish = std::exchange(account.waiting, {});
         wish.ahead += ahead > account.credit ? ahead - account.credit : 0;
         account.asked = true;
         list[name] = wish;
@@ -104,7 +104,7 @@
 }
 
 void CreditShare::grant(
-    Instant now, const std::map<std::string, CreditWish> &asked, const std::map<std::string, std::uint32_t> &granted)
+    Instant now, const std::map<std::string, CreditRequest> &asked, const std::map<std::string, std::uint32_t> &granted)
 {
     for (const auto &[name, wish] : asked) {
         Account &account = this->accounts[name];
@@ -127,7 +127,7 @@
     }
 }
 
-void CreditShare::lost(const std::map<std::string, CreditWish> &asked)
+void CreditShare::lost(const std::map<std::string, CreditRequest> &asked)
 {
     for (const auto &[name, wish] : asked) {
         this->accounts[name].asked = false;
--- a/src/gateway/credit_share_base.h
+++ b/src/gateway/credit_share_base.h
@@ -33,18 +33,18 @@
     /** Takes credit for one request. While @p inTouch is false, this gateway's part of the rate counts, as one of
      * @p gateways. */
     [[nodiscard]] CreditAnswer take(
-        Instant now, const CustomerRule &customer, CreditUse use, bool inTouch, std::size_t gateways);
+        Instant now, const CustomerConfig &customer, CreditUse use, bool inTouch, std::size_t gateways);
 
     /** What to ask the leader for now, by customer; empty where all have enough. */
-    [[nodiscard]] std::map<std::string, CreditWish> wanted(Instant now);
+    [[nodiscard]] std::map<std::string, CreditRequest> wanted(Instant now);
     /** Takes the leader's answer to @p asked. */
-    void grant(Instant now, const std::map<std::string, CreditWish> &asked,
+    void grant(Instant now, const std::map<std::string, CreditRequest> &asked,
         const std::map<std::string, std::uint32_t> &granted);
     /** The question was lost. */
-    void lost(const std::map<std::string, CreditWish> &asked);
+    void lost(const std::map<std::string, CreditRequest> &asked);
 
     /** When to come back after a refusal, in seconds: when the rate of @p customer allows the next request. */
-    [[nodiscard]] static double retryAfterSeconds(const CustomerRule &customer);
+    [[nodiscard]] static double retryAfterSeconds(const CustomerConfig &customer);
 
 private:
     /** Credit that isn't used in this time is dropped, so that all gateways together stay close to the rate. */
@@ -69,7 +69,7 @@
         std::uint32_t credit = 0; ///< Requests that may be admitted.
         std::uint32_t lateCredit = 0; ///< The same for CreditUse::BeginLate, which takes nothing of `credit`.
         Instant granted{0}; ///< When credit came last.
-        CreditWish waiting; ///< Requests that asked and were told to wait, since the last question.
+        CreditRequest waiting; ///< Requests that asked and were told to wait, since the last question.
         bool asked = false; ///< A question is under way.
         Instant refusedAt{0}; ///< When the leader had none left.
         /** The last answer gave less than was asked: this use and later ones of CreditUse are refused. */
--- a/src/gateway/gateway_base.cpp
+++ b/src/gateway/gateway_base.cpp
@@ -64,12 +64,12 @@
 TokenSettlement::~TokenSettlement()
 {
     if (!this->claim.program.empty()) {
-        this->history.writeLater({this->settle()});
+        this->history.writeInBackground({this->settle()});
     }
 }
 
 Gateway::Gateway(ControlLoop &loop, DeploymentWatcher &watcher, const CallDialect &dialect,
-    ConfigurationReader readConfiguration, GatewaySettings settings)
+    ConfigurationParser readConfiguration, GatewaySettings settings)
     : loop(loop)
     , watcher(watcher)
     , dialect(dialect)
@@ -92,7 +92,7 @@
             logEvent(EventKind::ConfigurationInForce,
                 {{"version", std::to_string(this->configuration->version)},
                     {"routes", std::to_string(this->configuration->routes.size())}});
-            this->watcher.reportSoon();
+            this->watcher.reportNow();
         }
     }
     if (hasPart(parts, UpdatePart::Endpoints)) {
@@ -100,7 +100,7 @@
     }
     if (hasPart(parts, UpdatePart::Instances)) {
         this->gateways = static_cast<std::size_t>(
-            std::count_if(view.instances.begin(), view.instances.end(), [](const InstanceFacts &one) {
+            std::count_if(view.instances.begin(), view.instances.end(), [](const InstanceInfo &one) {
                 return one.role == Wire::InstanceRole::GATEWAY;
             }));
     }
@@ -110,7 +110,7 @@
 {
     HttpLimits limits;
     if (this->configuration != nullptr) {
-        const CallerLimits &configured = this->configuration->limits;
+        const ClientLimits &configured = this->configuration->limits;
         limits.maxHeaderBytes = configured.maxHeaderBytes;
         limits.maxBodyBytes = configured.maxBodyBytes;
         limits.headerTimeout = configured.headerTimeout;
@@ -121,7 +121,7 @@
 
 bool Gateway::isStopDone(Duration since, std::size_t underWay, Duration grace)
 {
-    const Duration callersCome = gatewayListLife(grace) * ListLifeOverrun + StopMargin;
+    const Duration callersCome = gatewayListTtl(grace) * MaxTtlOverrunFactor + StopMargin;
     return (since >= callersCome && underWay == 0) || since >= grace - StopReserve;
 }
 
@@ -179,7 +179,7 @@
     }
     if (!call.configuration->customers.empty()) {
         call.customer = call.configuration->findCustomer(call.facts.key);
-        if (call.customer == nullptr && !call.route->isOpen) {
+        if (call.customer == nullptr && !call.route->isPublic) {
             this->refuse(scope, call, HttpStatus::Unauthorized, "unknown key", 0);
             return false;
         }
@@ -205,7 +205,7 @@
 
 void Gateway::startCreditFetch()
 {
-    if (this->creditFetch != nullptr || !this->watcher.isInTouch()) {
+    if (this->creditFetch != nullptr || !this->watcher.hasLeaderContact()) {
         return;
     }
     auto asked = this->credit.wanted(this->now());
@@ -213,7 +213,7 @@
         return;
     }
     auto answered = kj::evalNow([&]() {
-        return this->watcher.askCredit(asked);
+        return this->watcher.requestCredit(asked);
     });
     auto fetch = answered
                      .then(
@@ -246,7 +246,7 @@
         use = isLate ? CreditUse::BeginLate : CreditUse::Begin;
     }
     while (true) {
-        const bool inTouch = this->watcher.isInTouch() && this->now() >= this->creditPausedUntil;
+        const bool inTouch = this->watcher.hasLeaderContact() && this->now() >= this->creditPausedUntil;
         switch (this->credit.take(this->now(), *call.customer, use, inTouch, this->gateways)) {
         case CreditAnswer::Admitted:
             this->startCreditFetch();
@@ -277,14 +277,14 @@
 
 bool Gateway::beginTurn(kj::WaitScope &scope, Call &call)
 {
-    const RouteRule &route = *call.route;
+    const RouteConfig &route = *call.route;
     const bool isTurn = route.kind == RouteKind::Stream && !call.facts.program.empty();
     if (!isTurn) {
         return true;
     }
-    TurnStart start;
+    TurnRequest start;
     start.customer = call.customer == nullptr ? std::string() : call.customer->name;
-    start.previous = route.keepsTurns ? call.facts.previousTurn : std::string();
+    start.previous = route.retainsTurns ? call.facts.previousTurn : std::string();
     const auto now = static_cast<std::uint64_t>(wallMsNow());
     call.retentionMs = static_cast<std::uint64_t>(route.retention.count() * 1000);
     if (call.facts.programTokens) {
@@ -304,7 +304,7 @@
             scope, call, status, errorText(begun.error()), begun.error().kind == ErrorKind::NotReady ? SoonSeconds : 0);
         return false;
     }
-    call.isNewProgram = begun->isFirst && start.previous.empty();
+    call.isNewProgram = begun->isFirstTurn && start.previous.empty();
     for (const auto &turn : begun->chain) {
         call.prefix += turn->input;
         call.prefix += turn->output;
--- a/src/gateway/gateway_base.h
+++ b/src/gateway/gateway_base.h
@@ -54,7 +54,7 @@
 {
 public:
     Gateway(ControlLoop &loop, DeploymentWatcher &watcher, const CallDialect &dialect,
-        ConfigurationReader readConfiguration, GatewaySettings settings);
+        ConfigurationParser readConfiguration, GatewaySettings settings);
 
     /** To be called after each update of the watcher. */
     void followUpdate(std::uint32_t parts);
@@ -116,7 +116,7 @@
     ControlLoop &loop; ///< Outlives this.
     DeploymentWatcher &watcher; ///< Outlives this.
     const CallDialect &dialect; ///< Outlives this.
-    ConfigurationReader readDocument; ///< Decodes a configuration.
+    ConfigurationParser readDocument; ///< Decodes a configuration.
     GatewaySettings settings; ///< As given.
     ConfigurationPtr configuration; ///< In force; null before the first. Its version never falls.
     EndpointBoard board; ///< Endpoints and their load.
--- a/src/gateway/gateway_call_internal.h
+++ b/src/gateway/gateway_call_internal.h
@@ -19,8 +19,8 @@
     HttpExchange &exchange; ///< The request and its answer.
     ConfigurationPtr configuration; ///< Under which it is served.
     CallFacts facts; ///< What the caller says.
-    const RouteRule *route = nullptr; ///< In `configuration`.
-    const CustomerRule *customer = nullptr; ///< In `configuration`; null on open routes without a key.
+    const RouteConfig *route = nullptr; ///< In `configuration`.
+    const CustomerConfig *customer = nullptr; ///< In `configuration`; null on open routes without a key.
     Instant until{0}; ///< When a final answer is due.
     std::uint64_t fingerprint = 0; ///< Of customer, target and body.
     bool isNewProgram = false; ///< The first turn of its program.
--- a/src/gateway/gateway_run.cpp
+++ b/src/gateway/gateway_run.cpp
@@ -73,7 +73,7 @@
 
 void Gateway::run(kj::WaitScope &scope, Call &call)
 {
-    const RouteRule &route = *call.route;
+    const RouteConfig &route = *call.route;
     PlacementWish wish;
     std::uint64_t weights = 0;
     for (const RouteTarget &target : route.targets) {
@@ -87,7 +87,7 @@
         }
         point -= target.weight;
     }
-    const ServiceRule &service = call.configuration->services.at(wish.service);
+    const ServiceConfig &service = call.configuration->services.at(wish.service);
     if (service.engine) {
         call.tokensPerEvent = service.engine->tokensPerEvent;
         const std::string &line = call.facts.program.empty() ? call.facts.requestId : call.facts.program;
@@ -310,7 +310,7 @@
 
 void Gateway::finishStream(kj::WaitScope &scope, Call &call)
 {
-    if (call.route->keepsTurns) {
+    if (call.route->retainsTurns) {
         std::vector<HistoryRecord> records;
         KeptTurn turn;
         turn.id = call.facts.requestId;
--- a/src/history/history_client_base.cpp
+++ b/src/history/history_client_base.cpp
@@ -74,13 +74,13 @@
     std::vector<HistoryMember> members = this->watcher.view.history.members();
     const auto isNear = [this](const HistoryMember &member) {
         const auto &instances = this->watcher.view.instances;
-        return std::any_of(instances.begin(), instances.end(), [&](const InstanceFacts &one) {
+        return std::any_of(instances.begin(), instances.end(), [&](const InstanceInfo &one) {
             return one.name == member.name && one.dataCentre == this->dataCentre;
         });
     };
     const auto isAlive = [this](const HistoryMember &member) {
         const auto &instances = this->watcher.view.instances;
-        return std::any_of(instances.begin(), instances.end(), [&](const InstanceFacts &one) {
+        return std::any_of(instances.begin(), instances.end(), [&](const InstanceInfo &one) {
             return one.name == member.name;
         });
     };
@@ -130,13 +130,13 @@
     if (this->loop.timers().now() >= until) {
         return false;
     }
-    this->watcher.reportSoon();
+    this->watcher.reportNow();
     this->loop.kjTimer().afterDelay(RetryDelay).wait(scope);
     return true;
 }
 
 void HistoryClient::sendBegin(
-    const Calls &round, const HistoryMember &member, const std::shared_ptr<const TurnStart> &start, bool withChain)
+    const Calls &round, const HistoryMember &member, const std::shared_ptr<const TurnRequest> &start, bool withChain)
 {
     auto call = this->storeAt(member).then(
         [start, member, withChain, view = round->view.version](Wire::HistoryStore::Client store) {
@@ -173,9 +173,9 @@
     this->addCall(round, member, kj::mv(read));
 }
 
-bool HistoryClient::beginRound(kj::WaitScope &scope, const Calls &round, const TurnStart &start, Instant until)
+bool HistoryClient::beginRound(kj::WaitScope &scope, const Calls &round, const TurnRequest &start, Instant until)
 {
-    const auto shared = std::make_shared<const TurnStart>(start); // Calls go on when this fiber has ended.
+    const auto shared = std::make_shared<const TurnRequest>(start); // Calls go on when this fiber has ended.
     const bool claims = !start.claim.program.empty();
     round->view = this->watcher.view.history;
     round->needsWrite = claims;
@@ -195,7 +195,7 @@
     return !claims || this->waitRound(scope, round, until);
 }
 
-Result<void> HistoryClient::checkBudget(const Round &round, const TurnStart &start, TurnBegun &begun)
+Result<void> HistoryClient::checkBudget(const Round &round, const TurnRequest &start, TurnContext &begun)
 {
     std::vector<std::vector<TokenClaim>> answers;
     for (const auto &[identity, claims] : round.claims) {
@@ -203,7 +203,7 @@
     }
     const TokenClaim &own = start.claim.claim;
     const std::uint64_t others = claimedTokens(answers, own.turn);
-    begun.isFirst = others == 0;
+    begun.isFirstTurn = others == 0;
     if (others + own.tokens <= start.budget) {
         return {};
     }
@@ -211,9 +211,9 @@
         ErrorKind::BudgetSpent, std::to_string(others) + " of " + std::to_string(start.budget) + " tokens are claimed");
 }
 
-Result<TurnBegun> HistoryClient::begin(kj::WaitScope &scope, const TurnStart &start, Instant until)
+Result<TurnContext> HistoryClient::begin(kj::WaitScope &scope, const TurnRequest &start, Instant until)
 {
-    TurnBegun begun;
+    TurnContext begun;
     do {
         const auto round = std::make_shared<Round>();
         if (!this->beginRound(scope, round, start, until)) {
@@ -242,7 +242,7 @@
 }
 
 Result<std::vector<std::shared_ptr<const KeptTurn>>> HistoryClient::readChain(
-    kj::WaitScope &scope, const TurnStart &start, TurnChain chain, Instant until)
+    kj::WaitScope &scope, const TurnRequest &start, TurnChain chain, Instant until)
 {
     while (!chain.missing.empty()) {
         const HistoryView view = this->watcher.view.history;
@@ -332,7 +332,7 @@
     return fail(ErrorKind::NotReady, "no quorum of the history members has written");
 }
 
-void HistoryClient::writeLater(std::vector<HistoryRecord> records)
+void HistoryClient::writeInBackground(std::vector<HistoryRecord> records)
 {
     auto round = std::make_shared<Round>();
     round->view = this->watcher.view.history;
--- a/src/history/history_client_base.h
+++ b/src/history/history_client_base.h
@@ -18,7 +18,7 @@
 {
 
 /** What a turn needs before it may run. */
-struct TurnStart
+struct TurnRequest
 {
     ProgramClaim claim; ///< The most that it may generate; no program where the turn has no budget.
     std::uint64_t budget = 0; ///< Of the program, in tokens.
@@ -27,10 +27,10 @@
 };
 
 /** What was found at the start of a turn. */
-struct TurnBegun
+struct TurnContext
 {
     std::vector<std::shared_ptr<const KeptTurn>> chain; ///< The turns that it continues, oldest first.
-    bool isFirst = false; ///< No other turn of its program has claimed tokens.
+    bool isFirstTurn = false; ///< No other turn of its program has claimed tokens.
 };
 
 /** For the fibers of the control thread. */
@@ -41,12 +41,12 @@
 
     /** Claims the tokens of a turn and reads the chain that it continues.
      * Errors: BudgetSpent; NotFound where no such turn exists; NotReady where that can't be known until @p until. */
-    [[nodiscard]] Result<TurnBegun> begin(kj::WaitScope &scope, const TurnStart &start, Instant until);
+    [[nodiscard]] Result<TurnContext> begin(kj::WaitScope &scope, const TurnRequest &start, Instant until);
 
     /** Writes @p records with a quorum, until @p until. Errors: NotReady. */
     [[nodiscard]] Result<void> write(kj::WaitScope &scope, const std::vector<HistoryRecord> &records, Instant until);
     /** Writes in the background, without knowing the outcome. */
-    void writeLater(std::vector<HistoryRecord> records);
+    void writeInBackground(std::vector<HistoryRecord> records);
 
 private:
     struct Round;
@@ -54,17 +54,17 @@
 
     kj::Promise<Wire::HistoryStore::Client> storeAt(const HistoryMember &member);
     [[nodiscard]] std::vector<HistoryMember> nearestFirst() const;
-    void sendBegin(
-        const Calls &round, const HistoryMember &member, const std::shared_ptr<const TurnStart> &start, bool withChain);
+    void sendBegin(const Calls &round, const HistoryMember &member, const std::shared_ptr<const TurnRequest> &start,
+        bool withChain);
     /** @return whether the claim lasts and the claims of the others are known. */
-    [[nodiscard]] bool beginRound(kj::WaitScope &scope, const Calls &round, const TurnStart &start, Instant until);
+    [[nodiscard]] bool beginRound(kj::WaitScope &scope, const Calls &round, const TurnRequest &start, Instant until);
     /** Errors: BudgetSpent. The claim is left to the settlement of the turn. */
-    [[nodiscard]] static Result<void> checkBudget(const Round &round, const TurnStart &start, TurnBegun &begun);
+    [[nodiscard]] static Result<void> checkBudget(const Round &round, const TurnRequest &start, TurnContext &begun);
     void sendWrite(const Calls &round, const HistoryView &view, const std::vector<HistoryRecord> &records);
     void addCall(const Calls &round, const HistoryMember &member, kj::Promise<Wire::HistoryStatus> call);
     /** Reads what is missing of @p chain. @return it whole, oldest first. */
     Result<std::vector<std::shared_ptr<const KeptTurn>>> readChain(
-        kj::WaitScope &scope, const TurnStart &start, TurnChain chain, Instant until);
+        kj::WaitScope &scope, const TurnRequest &start, TurnChain chain, Instant until);
     bool waitRound(kj::WaitScope &scope, const Calls &round, Instant until);
     [[nodiscard]] bool pauseBeforeRetry(kj::WaitScope &scope, Instant until);
 
--- a/src/history/history_member_base.cpp
+++ b/src/history/history_member_base.cpp
@@ -216,7 +216,7 @@
     }
 }
 
-void HistoryMemberDaemon::followView()
+void HistoryMemberDaemon::onViewChanged()
 {
     const HistoryView &view = this->watcher.view.history;
     const bool joins = view.isChanging() && view.isMember(this->ownIdentity) && !view.isCurrent(this->ownIdentity);
@@ -233,7 +233,7 @@
 {
     const HistoryView &view = this->watcher.view.history;
     if (view.version != version) {
-        return kj::READY_NOW; // Another view is in force; followView has begun anew where needed.
+        return kj::READY_NOW; // Another view is in force; onViewChanged has begun anew where needed.
     }
     kj::Vector<kj::Promise<void>> copies;
     for (const HistoryMember &member : view.current) {
@@ -265,7 +265,7 @@
                 logEvent(EventKind::MembershipChanged,
                     {{"what", "copy complete"}, {"version", std::to_string(version)},
                         {"turns", std::to_string(this->table.turnCount())}});
-                this->watcher.reportSoon();
+                this->watcher.reportNow();
                 return kj::READY_NOW;
             }
             return this->loop.kjTimer().afterDelay(CopyRetryDelay).then([this, version]() {
--- a/src/history/history_member_base.h
+++ b/src/history/history_member_base.h
@@ -29,7 +29,7 @@
     [[nodiscard]] Result<void> open(const std::string &folder, const std::string &name);
     void start();
     /** To be called after each update of the watcher. */
-    void followView();
+    void onViewChanged();
 
     [[nodiscard]] Wire::HistoryStore::Client makeService();
     [[nodiscard]] const std::string &identity() const
--- a/tests/process/platform_test.cpp
+++ b/tests/process/platform_test.cpp
@@ -187,7 +187,7 @@
         instance.inner = this->inner;
         instance.seeds = {"127.0.0.2:1"};
         instance.platform = this->platform.address;
-        instance.isFirstStart = first;
+        instance.isBootstrap = first;
         this->processes[name] = startInstance(instance, this->folder.path);
     }
 
--- a/tests/process/soak_test.cpp
+++ b/tests/process/soak_test.cpp
@@ -159,7 +159,7 @@
             one.inner = inner;
             one.seeds = {"127.0.1.1:1", "127.0.1.2:1", "127.0.1.3:1"};
             one.platform = this->platform.address;
-            one.lossesToBear = 1;
+            one.toleratedFailures = 1;
             if (host != 1) {
                 heldAddress(one.ip, inner);
             }
@@ -184,9 +184,9 @@
         }
     }
 
-    void start(std::size_t process, bool isFirstStart = false)
+    void start(std::size_t process, bool isBootstrap = false)
     {
-        this->instances[process].isFirstStart = isFirstStart;
+        this->instances[process].isBootstrap = isBootstrap;
         this->processes[process] = startInstance(this->instances[process], this->folder.path);
     }
 
--- a/tests/support/platform_process.cpp
+++ b/tests/support/platform_process.cpp
@@ -15,10 +15,10 @@
     }
     std::ofstream(base + ".json") << R"({"node":")" << instance.name << R"(","ip":")" << instance.ip
                                   << R"(","zone":"z","innerPorts":[)" << instance.inner << R"(],"seeds":[)" << seeds
-                                  << R"(],"bootstrap":)" << (instance.isFirstStart ? "true" : "false")
+                                  << R"(],"bootstrap":)" << (instance.isBootstrap ? "true" : "false")
                                   << R"(,"listen":{)" << instance.listen << R"(},"dataDir":")" << base
                                   << R"(-data","cloud":{"addr":")" << instance.platform
-                                  << R"("},"faultTolerance":{"machines":)" << instance.lossesToBear << "}}";
+                                  << R"("},"faultTolerance":{"machines":)" << instance.toleratedFailures << "}}";
     return std::make_unique<ChildProcess>("chestnuthook-" + instance.program,
         std::vector<std::string>{"--settings=" + base + ".json"}, base + ".log",
         std::vector<std::string>{"CHESTNUTHOOK_SECRET=test"});
--- a/tests/support/platform_process.h
+++ b/tests/support/platform_process.h
@@ -20,8 +20,8 @@
     unsigned short inner = 0; ///< Port for the other daemons, the same at each address.
     std::vector<std::string> seeds; ///< Control members as ip:port.
     std::string platform; ///< Where the list of endpoints is.
-    unsigned lossesToBear = 0; ///< Instances with a disk that may be lost at once.
-    bool isFirstStart = false; ///< Of the whole deployment.
+    unsigned toleratedFailures = 0; ///< Instances with a disk that may be lost at once.
+    bool isBootstrap = false; ///< Of the whole deployment.
 };
 
 /** Starts it; settings, log and data are in @p folder under its program (`log`) and name. */
--- a/tests/unit/credit_test.cpp
+++ b/tests/unit/credit_test.cpp
@@ -12,9 +12,9 @@
 
 constexpr Duration Step = std::chrono::milliseconds(10);
 
-CustomerRule customer(double rate, double burst)
+CustomerConfig customer(double rate, double burst)
 {
-    CustomerRule rule;
+    CustomerConfig rule;
     rule.name = "glue";
     rule.ratePerSecond = rate;
     rule.burst = burst;
@@ -25,7 +25,7 @@
 class Deployment
 {
 public:
-    Deployment(std::size_t gateways, CustomerRule rule)
+    Deployment(std::size_t gateways, CustomerConfig rule)
         : shares(gateways)
         , rule(std::move(rule))
     {
@@ -61,7 +61,7 @@
 
     CreditPool pool; ///< The leader's.
     std::vector<CreditShare> shares; ///< One for each gateway.
-    CustomerRule rule; ///< The customer's.
+    CustomerConfig rule; ///< The customer's.
     Instant now{1}; ///< Moved by the tests.
     unsigned admitted = 0; ///< Requests.
 };
@@ -151,10 +151,10 @@
     CreditPool pool;
     pool.setGateways(4, 2);
     Instant now(1);
-    const CustomerRule rule = customer(100, 100);
+    const CustomerConfig rule = customer(100, 100);
     std::uint32_t granted = 0;
     for (int i = 0; i < 500; ++i) {
-        granted += pool.take(now, rule, CreditWish{50, 0, 0});
+        granted += pool.take(now, rule, CreditRequest{50, 0, 0});
         now += Step;
     }
     BOOST_TEST(granted <= 70 * 5 + 100); // With the 50 that the silent ones may admit, 1.2 times the rate.
@@ -179,14 +179,14 @@
 {
     CreditPool pool;
     Instant now(1);
-    const CustomerRule rule = customer(20, 20);
-    static_cast<void>(pool.take(now, rule, CreditWish{2, 0, 0})); // It begins with 10; 8 are left.
+    const CustomerConfig rule = customer(20, 20);
+    static_cast<void>(pool.take(now, rule, CreditRequest{2, 0, 0})); // It begins with 10; 8 are left.
     now += std::chrono::milliseconds(100);
-    BOOST_TEST(pool.take(now, rule, CreditWish{0, 1, 0}) == 1U);
-    BOOST_TEST(pool.take(now, rule, CreditWish{0, 0, 1}) == 0U);
-    BOOST_TEST(pool.take(now, rule, CreditWish{1, 0, 0}) == 1U);
+    BOOST_TEST(pool.take(now, rule, CreditRequest{0, 1, 0}) == 1U);
+    BOOST_TEST(pool.take(now, rule, CreditRequest{0, 0, 1}) == 0U);
+    BOOST_TEST(pool.take(now, rule, CreditRequest{1, 0, 0}) == 1U);
     now += std::chrono::seconds(2);
-    BOOST_TEST(pool.take(now, rule, CreditWish{0, 0, 1}) == 1U);
+    BOOST_TEST(pool.take(now, rule, CreditRequest{0, 0, 1}) == 1U);
 }
 
 namespace
--- a/tests/unit/deployment_test.cpp
+++ b/tests/unit/deployment_test.cpp
@@ -4,15 +4,15 @@
 
 #include "deployment/deployment_state_base.h"
 #include "deployment/group_plan_func.h"
-#include "deployment/instance_board_base.h"
-#include "deployment/strike_board_base.h"
+#include "deployment/instance_registry_base.h"
+#include "deployment/strike_tracker_base.h"
 
 using namespace Chestnuthook;
 
 namespace
 {
 
-InstanceFacts gateway(const std::string &name, bool ready = true)
+InstanceInfo gateway(const std::string &name, bool ready = true)
 {
     return {name, Wire::InstanceRole::GATEWAY, "x", "10.0.0.1:80", "10.0.0.1:7000", {}, ready};
 }
@@ -62,12 +62,12 @@
 
 BOOST_AUTO_TEST_CASE(a_silent_daemon_leaves_the_directory_and_comes_back)
 {
-    InstanceBoard board;
+    InstanceRegistry board;
     Instant now(1);
     BOOST_TEST(board.note(now, gateway("a"), 0));
     BOOST_TEST(!board.note(now, gateway("a"), 0));
     BOOST_TEST(board.note(now, gateway("a", false), 0));
-    now += InstanceBoard::SilentAfter + Duration(1);
+    now += InstanceRegistry::SilentAfter + Duration(1);
     BOOST_TEST(board.expire(now));
     BOOST_TEST(board.alive().empty());
     BOOST_TEST(board.gatewaysAndSilent().second == 1U);
@@ -77,18 +77,18 @@
 
 BOOST_AUTO_TEST_CASE(members_never_heard_by_a_new_leader_count_as_lost_only_after_a_while)
 {
-    const InstanceBoard board;
+    const InstanceRegistry board;
     const HistoryView view{3, {{"a.1", "a", "x"}}, {}};
     const Instant since(1);
     BOOST_TEST(!board.historyCandidates(since, view, {}, since).front().lost);
-    const Instant later = since + InstanceBoard::LostAfter + Duration(1);
+    const Instant later = since + InstanceRegistry::LostAfter + Duration(1);
     BOOST_TEST(board.historyCandidates(later, view, {}, since).front().lost);
 }
 
 /** Incident of 2026-12-04 on kortagatt: each new leader proposed to replace all history members. */
 BOOST_AUTO_TEST_CASE(a_new_leader_that_knows_a_member_by_hearsay_does_not_replace_it)
 {
-    InstanceBoard board;
+    InstanceRegistry board;
     const HistoryView view{3, {{"a.1", "a", "x"}, {"b.1", "b", "y"}, {"c.1", "c", "z"}}, {}};
     const Instant now(1);
     board.adopt(now,
@@ -100,7 +100,7 @@
 
 BOOST_AUTO_TEST_CASE(a_request_that_brings_down_three_endpoints_is_refused_for_a_while)
 {
-    StrikeBoard board;
+    StrikeTracker board;
     const Instant now(1);
     BOOST_TEST(!board.note(now, {7, "a"}));
     BOOST_TEST(!board.note(now, {7, "a"})); // One crash hits all that were there.
@@ -109,7 +109,7 @@
     BOOST_TEST(board.note(now, {7, "c"}));
     BOOST_TEST(!board.note(now, {8, "c"}));
     BOOST_TEST((board.refused() == std::set<std::uint64_t>{7}));
-    BOOST_TEST(board.expire(now + StrikeBoard::StrikeLife + Duration(1)));
+    BOOST_TEST(board.expire(now + StrikeTracker::StrikeLife + Duration(1)));
     BOOST_TEST(board.refused().empty());
 }
 
--- a/tests/unit/gateway_decision_test.cpp
+++ b/tests/unit/gateway_decision_test.cpp
@@ -199,7 +199,7 @@
 BOOST_AUTO_TEST_CASE(a_planned_stop_waits_for_callers_and_requests_within_its_grace)
 {
     constexpr Duration Grace = std::chrono::seconds(8);
-    const Duration callersCome = gatewayListLife(Grace) * ListLifeOverrun;
+    const Duration callersCome = gatewayListTtl(Grace) * MaxTtlOverrunFactor;
     BOOST_TEST(!Gateway::isStopDone(callersCome, 0, Grace));
     BOOST_TEST(Gateway::isStopDone(callersCome + std::chrono::seconds(1), 0, Grace));
     BOOST_TEST(!Gateway::isStopDone(callersCome + std::chrono::seconds(1), 1, Grace));
@@ -210,9 +210,9 @@
 {
     for (const int seconds : {1, 2, 4, 8, 30}) {
         const Duration grace = std::chrono::seconds(seconds);
-        BOOST_TEST((gatewayListLife(grace) * ListLifeOverrun < grace));
+        BOOST_TEST((gatewayListTtl(grace) * MaxTtlOverrunFactor < grace));
     }
-    BOOST_TEST((gatewayListLife(std::chrono::seconds(60)) <= std::chrono::seconds(2)));
+    BOOST_TEST((gatewayListTtl(std::chrono::seconds(60)) <= std::chrono::seconds(2)));
 }
 
 BOOST_AUTO_TEST_CASE(only_whole_events_are_passed_on)
--- a/tests/unit/platform_decode_test.cpp
+++ b/tests/unit/platform_decode_test.cpp
@@ -54,9 +54,9 @@
     BOOST_REQUIRE(read.has_value());
     const Configuration &configuration = **read;
     BOOST_TEST(configuration.version == 7U);
-    const RouteRule *route = configuration.findRoute("a.EXAMPLE:80", "/p/x/y");
+    const RouteConfig *route = configuration.findRoute("a.EXAMPLE:80", "/p/x/y");
     BOOST_REQUIRE(route != nullptr);
-    BOOST_TEST(route->keepsTurns);
+    BOOST_TEST(route->retainsTurns);
     BOOST_TEST((route->kind == RouteKind::Stream));
     BOOST_TEST(route->timeout.count() == 4000);
     BOOST_TEST(route->targets.front().service == "s1");
@@ -105,8 +105,8 @@
     BOOST_REQUIRE(read.has_value());
     BOOST_TEST(read->rpcAddress == "10.1.0.3:7780");
     BOOST_TEST(read->controlSeeds.front() == "10.1.0.35:7780");
-    BOOST_TEST(read->isFirstStart);
-    BOOST_TEST(read->lossesToBear == 2U);
+    BOOST_TEST(read->isBootstrap);
+    BOOST_TEST(read->toleratedFailures == 2U);
     BOOST_TEST(read->stopGrace.count() == 6500000);
     BOOST_TEST(read->dataFolder.empty());
     const auto bad = readSettings(with(good, "innerPorts", "outerPorts"));
