--- a/src/history/history_client_base.cpp
+++ b/src/history/history_client_base.cpp
@@ -1,4 +1,4 @@
-/** @file history_client_base.cpp  Quorum calls to the history members. */
+/** @file history_client_base.cpp  Quorum reads and writes at the history members. */
 #include "history/history_client_base.h"
 
 #include <algorithm>
@@ -14,37 +14,37 @@
 namespace
 {
 
-/** A member that doesn't answer a call for this long is silent; its connection is given up. */
+/** Timeout of one call to one member; its connection is closed after it. */
 constexpr auto CallTimeout = 500 * kj::MILLISECONDS;
-/** A chain is asked of the next member after this long. */
+/** Timeout of a chain read at one member; the next member is tried after it. */
 constexpr auto ChainTimeout = 150 * kj::MILLISECONDS;
-/** The chain of the nearest member is awaited this long; others have it too. */
-constexpr Duration ChainWait = std::chrono::milliseconds(60);
-constexpr Duration RoundTimeout = std::chrono::milliseconds(600);
+/** How long the chain from the preferred member is awaited before the other members, which also hold it, are asked. */
+constexpr Duration PreferredChainTimeout = std::chrono::milliseconds(60);
+constexpr Duration QuorumCallTimeout = std::chrono::milliseconds(600);
 constexpr auto RetryDelay = 30 * kj::MILLISECONDS;
 
 } // namespace
 
-/** The answers to one call at all members. */
-struct HistoryClient::Round
+/** One call sent to several members, and their responses. */
+struct HistoryClient::QuorumCall
 {
-    HistoryView view; ///< Under which it was sent.
-    std::set<std::string> done; ///< Members that have done it.
-    unsigned open = 0; ///< Calls without an outcome.
-    bool needsWrite = false; ///< Done once a write quorum has answered; else a read quorum.
-    std::map<std::string, std::vector<TokenClaim>> claims; ///< Answers of `begin`, by member.
-    TurnChain chain; ///< Of the member that was asked for it.
-    bool chainAwaited = false; ///< The member asked for the chain has not answered yet.
-    kj::Own<kj::PromiseFulfiller<void>> fulfiller; ///< Fulfilled at the first outcome below.
+    HistoryView view; ///< View under which it was sent.
+    std::set<std::string> succeeded; ///< Identities of the members that succeeded.
+    unsigned outstanding = 0; ///< Calls that have neither succeeded nor failed.
+    bool needsWrite = false; ///< Needs a write quorum, otherwise a read quorum.
+    std::map<std::string, std::vector<TokenClaim>> claims; ///< Claims returned by `begin`, by member identity.
+    TurnChain chain; ///< Returned by the member that was asked for it.
+    bool chainAwaited = false; ///< The member that was asked for the chain hasn't answered yet.
+    kj::Own<kj::PromiseFulfiller<void>> fulfiller; ///< Wakes the waiting fiber.
 
-    [[nodiscard]] bool isEnough() const
+    [[nodiscard]] bool isComplete() const
     {
-        return (this->needsWrite ? this->view.mayWrite(this->done) : this->view.mayRead(this->done))
+        return (this->needsWrite ? this->view.mayWrite(this->succeeded) : this->view.mayRead(this->succeeded))
             && !this->chainAwaited;
     }
-    void note()
+    void notifyWaiter()
     {
-        if ((this->isEnough() || this->open == 0) && this->fulfiller.get() != nullptr) {
+        if ((this->isComplete() || this->outstanding == 0) && this->fulfiller.get() != nullptr) {
             this->fulfiller->fulfill();
         }
     }
@@ -69,7 +69,7 @@
     });
 }
 
-std::vector<HistoryMember> HistoryClient::nearestFirst() const
+std::vector<HistoryMember> HistoryClient::membersByPreference() const
 {
     std::vector<HistoryMember> members = this->watcher.view.history.members();
     const auto isNear = [this](const HistoryMember &member) {
@@ -94,38 +94,39 @@
     return members;
 }
 
-void HistoryClient::addCall(const Calls &round, const HistoryMember &member, kj::Promise<Wire::HistoryStatus> call)
+void HistoryClient::addCall(
+    const QuorumCallPtr &quorumCall, const HistoryMember &member, kj::Promise<Wire::HistoryStatus> call)
 {
-    ++round->open;
+    ++quorumCall->outstanding;
     this->tasks.add(this->loop.kjTimer()
                         .timeoutAfter(CallTimeout, kj::mv(call))
                         .then(
-                            [round, identity = member.identity](Wire::HistoryStatus status) {
-                                --round->open;
+                            [quorumCall, identity = member.identity](Wire::HistoryStatus status) {
+                                --quorumCall->outstanding;
                                 if (status == Wire::HistoryStatus::OK) {
-                                    round->done.insert(identity);
+                                    quorumCall->succeeded.insert(identity);
                                 }
-                                round->note();
+                                quorumCall->notifyWaiter();
                             },
-                            [this, round, address = member.address](kj::Exception && /*exception*/) {
-                                --round->open;
+                            [this, quorumCall, address = member.address](kj::Exception && /*exception*/) {
+                                --quorumCall->outstanding;
                                 this->links[address]->reset();
-                                round->note();
+                                quorumCall->notifyWaiter();
                             }));
 }
 
-bool HistoryClient::waitRound(kj::WaitScope &scope, const Calls &round, Instant until)
+bool HistoryClient::waitForCall(kj::WaitScope &scope, const QuorumCallPtr &quorumCall, Instant until)
 {
-    if (!round->isEnough() && round->open != 0) {
+    if (!quorumCall->isComplete() && quorumCall->outstanding != 0) {
         auto pair = kj::newPromiseAndFulfiller<void>();
-        round->fulfiller = kj::mv(pair.fulfiller);
-        const Duration left = std::clamp(until - this->loop.timers().now(), Duration(0), RoundTimeout);
+        quorumCall->fulfiller = kj::mv(pair.fulfiller);
+        const Duration left = std::clamp(until - this->loop.timers().now(), Duration(0), QuorumCallTimeout);
         pair.promise.exclusiveJoin(this->loop.kjTimer().afterDelay(kjDuration(left))).wait(scope);
     }
-    return round->isEnough();
+    return quorumCall->isComplete();
 }
 
-bool HistoryClient::pauseBeforeRetry(kj::WaitScope &scope, Instant until)
+bool HistoryClient::waitBeforeRetry(kj::WaitScope &scope, Instant until)
 {
     if (this->loop.timers().now() >= until) {
         return false;
@@ -135,11 +136,11 @@
     return true;
 }
 
-void HistoryClient::sendBegin(
-    const Calls &round, const HistoryMember &member, const std::shared_ptr<const TurnRequest> &start, bool withChain)
+void HistoryClient::sendBeginTo(const QuorumCallPtr &quorumCall, const HistoryMember &member,
+    const std::shared_ptr<const TurnRequest> &start, bool withChain)
 {
     auto call = this->storeAt(member).then(
-        [start, member, withChain, view = round->view.version](Wire::HistoryStore::Client store) {
+        [start, member, withChain, view = quorumCall->view.version](Wire::HistoryStore::Client store) {
             auto request = store.beginRequest();
             request.setIdentity(wireText(member.identity));
             request.setView(view);
@@ -151,93 +152,95 @@
             request.setWithChain(withChain);
             return request.send();
         });
-    auto read = call.then([round, member, withChain](capnp::Response<Wire::HistoryStore::BeginResults> &&response) {
-        round->chainAwaited = round->chainAwaited && !withChain;
-        if (response.getStatus() != Wire::HistoryStatus::OK) {
-            return response.getStatus();
-        }
-        if (round->view.isCurrent(member.identity)) {
-            auto &claims = round->claims[member.identity];
-            for (const auto claim : response.getClaims()) {
-                claims.push_back({textOf(claim.getTurn()), claim.getTokens(), claim.getSettled()});
+    auto read =
+        call.then([quorumCall, member, withChain](capnp::Response<Wire::HistoryStore::BeginResults> &&response) {
+            quorumCall->chainAwaited = quorumCall->chainAwaited && !withChain;
+            if (response.getStatus() != Wire::HistoryStatus::OK) {
+                return response.getStatus();
             }
-        }
-        if (withChain) {
-            for (const auto turn : response.getChain()) {
-                round->chain.turns.push_back(std::make_shared<KeptTurn>(readTurn(turn)));
+            if (quorumCall->view.isCurrent(member.identity)) {
+                auto &claims = quorumCall->claims[member.identity];
+                for (const auto claim : response.getClaims()) {
+                    claims.push_back({textOf(claim.getTurn()), claim.getTokens(), claim.getSettled()});
+                }
             }
-            round->chain.missing = textOf(response.getMissing());
-        }
-        return Wire::HistoryStatus::OK;
-    });
-    this->addCall(round, member, kj::mv(read));
+            if (withChain) {
+                for (const auto turn : response.getChain()) {
+                    quorumCall->chain.turns.push_back(std::make_shared<KeptTurn>(readTurn(turn)));
+                }
+                quorumCall->chain.missing = textOf(response.getMissing());
+            }
+            return Wire::HistoryStatus::OK;
+        });
+    this->addCall(quorumCall, member, kj::mv(read));
 }
 
-bool HistoryClient::beginRound(kj::WaitScope &scope, const Calls &round, const TurnRequest &start, Instant until)
+bool HistoryClient::callBegin(
+    kj::WaitScope &scope, const QuorumCallPtr &quorumCall, const TurnRequest &start, Instant until)
 {
-    const auto shared = std::make_shared<const TurnRequest>(start); // Calls go on when this fiber has ended.
+    const auto shared = std::make_shared<const TurnRequest>(start); // Calls may outlive this fiber.
     const bool claims = !start.claim.program.empty();
-    round->view = this->watcher.view.history;
-    round->needsWrite = claims;
-    round->chainAwaited = !start.previous.empty();
-    bool withChain = round->chainAwaited;
-    for (const HistoryMember &member : this->nearestFirst()) {
+    quorumCall->view = this->watcher.view.history;
+    quorumCall->needsWrite = claims;
+    quorumCall->chainAwaited = !start.previous.empty();
+    bool withChain = quorumCall->chainAwaited;
+    for (const HistoryMember &member : this->membersByPreference()) {
         if (!withChain && !claims) {
             break;
         }
-        this->sendBegin(round, member, shared, withChain);
+        this->sendBeginTo(quorumCall, member, shared, withChain);
         withChain = false;
     }
-    if (round->chainAwaited) { // A silent nearest member holds nobody up: the others are asked for the chain then.
-        this->waitRound(scope, round, std::min(until, this->loop.timers().now() + ChainWait));
-        round->chainAwaited = false;
+    if (quorumCall->chainAwaited) { // An unresponsive member must not delay the turn; readChain then asks the others.
+        this->waitForCall(scope, quorumCall, std::min(until, this->loop.timers().now() + PreferredChainTimeout));
+        quorumCall->chainAwaited = false;
     }
-    return !claims || this->waitRound(scope, round, until);
+    return !claims || this->waitForCall(scope, quorumCall, until);
 }
 
-Result<void> HistoryClient::checkBudget(const Round &round, const TurnRequest &start, TurnContext &begun)
+Result<void> HistoryClient::checkBudget(const QuorumCall &quorumCall, const TurnRequest &start, TurnContext &context)
 {
     std::vector<std::vector<TokenClaim>> answers;
-    for (const auto &[identity, claims] : round.claims) {
+    for (const auto &[identity, claims] : quorumCall.claims) {
         answers.push_back(claims);
     }
     const TokenClaim &own = start.claim.claim;
     const std::uint64_t others = claimedTokens(answers, own.turn);
-    begun.isFirstTurn = others == 0;
+    context.isFirstTurn = others == 0;
     if (others + own.tokens <= start.budget) {
         return {};
     }
-    return fail(
-        ErrorKind::BudgetSpent, std::to_string(others) + " of " + std::to_string(start.budget) + " tokens are claimed");
+    return fail(ErrorKind::BudgetSpent,
+        std::to_string(others) + " of " + std::to_string(start.budget) + " tokens are already reserved");
 }
 
 Result<TurnContext> HistoryClient::begin(kj::WaitScope &scope, const TurnRequest &start, Instant until)
 {
-    TurnContext begun;
+    TurnContext context;
     do {
-        const auto round = std::make_shared<Round>();
-        if (!this->beginRound(scope, round, start, until)) {
+        const auto quorumCall = std::make_shared<QuorumCall>();
+        if (!this->callBegin(scope, quorumCall, start, until)) {
             continue;
         }
         if (!start.claim.program.empty()) {
-            const Result<void> held = checkBudget(*round, start, begun);
-            if (!held) {
-                return tl::unexpected(held.error());
+            const Result<void> checked = checkBudget(*quorumCall, start, context);
+            if (!checked) {
+                return tl::unexpected(checked.error());
             }
         }
         if (start.previous.empty()) {
-            return begun;
+            return context;
         }
-        if (round->chain.turns.empty()) {
-            round->chain.missing = start.previous;
+        if (quorumCall->chain.turns.empty()) {
+            quorumCall->chain.missing = start.previous;
         }
-        auto chain = this->readChain(scope, start, std::move(round->chain), until);
+        auto chain = this->readChain(scope, start, std::move(quorumCall->chain), until);
         if (!chain) {
             return tl::unexpected(chain.error());
         }
-        begun.chain = std::move(*chain);
-        return begun;
-    } while (this->pauseBeforeRetry(scope, until));
+        context.chain = std::move(*chain);
+        return context;
+    } while (this->waitBeforeRetry(scope, until));
     return fail(ErrorKind::NotReady, "no quorum of the history members answered");
 }
 
@@ -246,9 +249,9 @@
 {
     while (!chain.missing.empty()) {
         const HistoryView view = this->watcher.view.history;
-        std::set<std::string> without;
+        std::set<std::string> membersWithoutTurn;
         bool found = false;
-        for (const HistoryMember &member : this->nearestFirst()) {
+        for (const HistoryMember &member : this->membersByPreference()) {
             auto call = this->storeAt(member)
                             .then([&start, &chain, &member, &view](Wire::HistoryStore::Client store) {
                                 auto request = store.chainRequest();
@@ -279,28 +282,30 @@
                 break;
             }
             if (answered) {
-                without.insert(member.identity);
+                membersWithoutTurn.insert(member.identity);
             }
         }
         if (found) {
             continue;
         }
-        if (view.mayRead(without)) {
-            return fail(ErrorKind::NotFound, "no turn " + chain.missing + " of this customer is kept");
+        if (view.mayRead(membersWithoutTurn)) {
+            return fail(ErrorKind::NotFound, "no turn " + chain.missing + " of this customer is stored");
         }
-        if (!this->pauseBeforeRetry(scope, until)) {
-            return fail(ErrorKind::NotReady, "too few history members answered to read turn " + chain.missing);
+        if (!this->waitBeforeRetry(scope, until)) {
+            return fail(
+                ErrorKind::NotReady, "no read quorum of the history members answered for turn " + chain.missing);
         }
     }
     std::reverse(chain.turns.begin(), chain.turns.end());
     return std::move(chain.turns);
 }
 
-void HistoryClient::sendWrite(const Calls &round, const HistoryView &view, const std::vector<HistoryRecord> &records)
+void HistoryClient::sendWrite(
+    const QuorumCallPtr &quorumCall, const HistoryView &view, const std::vector<HistoryRecord> &records)
 {
     const auto shared = std::make_shared<const std::vector<HistoryRecord>>(records);
     for (const HistoryMember &member : view.members()) {
-        this->addCall(round, member,
+        this->addCall(quorumCall, member,
             this->storeAt(member)
                 .then([shared, member, version = view.version](Wire::HistoryStore::Client store) {
                     auto request = store.writeRequest();
@@ -321,22 +326,22 @@
 Result<void> HistoryClient::write(kj::WaitScope &scope, const std::vector<HistoryRecord> &records, Instant until)
 {
     do {
-        auto round = std::make_shared<Round>();
-        round->view = this->watcher.view.history;
-        round->needsWrite = true;
-        this->sendWrite(round, round->view, records);
-        if (this->waitRound(scope, round, until)) {
+        auto quorumCall = std::make_shared<QuorumCall>();
+        quorumCall->view = this->watcher.view.history;
+        quorumCall->needsWrite = true;
+        this->sendWrite(quorumCall, quorumCall->view, records);
+        if (this->waitForCall(scope, quorumCall, until)) {
             return {};
         }
-    } while (this->pauseBeforeRetry(scope, until));
-    return fail(ErrorKind::NotReady, "no quorum of the history members has written");
+    } while (this->waitBeforeRetry(scope, until));
+    return fail(ErrorKind::NotReady, "no write quorum of the history members acknowledged the records");
 }
 
 void HistoryClient::writeInBackground(std::vector<HistoryRecord> records)
 {
-    auto round = std::make_shared<Round>();
-    round->view = this->watcher.view.history;
-    this->sendWrite(round, round->view, records);
+    auto quorumCall = std::make_shared<QuorumCall>();
+    quorumCall->view = this->watcher.view.history;
+    this->sendWrite(quorumCall, quorumCall->view, records);
 }
 
 } // namespace Chestnuthook
--- a/src/history/history_client_base.h
+++ b/src/history/history_client_base.h
@@ -1,4 +1,5 @@
-/** @file history_client_base.h  A gateway's way to the history: claims of tokens, chains of turns, kept turns. */
+/** @file history_client_base.h  Client of the replicated history store: reserves tokens of a program's budget, reads
+ * the chain of turns that a request continues, and stores finished turns. */
 #pragma once
 
 #include <cstdint>
@@ -17,71 +18,76 @@
 namespace Chestnuthook
 {
 
-/** What a turn needs before it may run. */
+/** Request to start a turn. */
 struct TurnRequest
 {
-    ProgramClaim claim; ///< The most that it may generate; no program where the turn has no budget.
-    std::uint64_t budget = 0; ///< Of the program, in tokens.
-    std::string previous; ///< The turn that it continues; empty for none.
-    std::string customer; ///< Whose it is.
+    ProgramClaim claim; ///< Most tokens that it may generate; the program is empty if the turn has no budget.
+    std::uint64_t budget = 0; ///< Token budget of the program.
+    std::string previous; ///< Id of the turn that it continues; empty for none.
+    std::string customer; ///< Customer that owns the turn.
 };
 
-/** What was found at the start of a turn. */
+/** State read from the history store when a turn starts. */
 struct TurnContext
 {
-    std::vector<std::shared_ptr<const KeptTurn>> chain; ///< The turns that it continues, oldest first.
-    bool isFirstTurn = false; ///< No other turn of its program has claimed tokens.
+    std::vector<std::shared_ptr<const KeptTurn>> chain; ///< Preceding turns, oldest first.
+    bool isFirstTurn = false; ///< No other turn of its program has reserved tokens.
 };
 
-/** For the fibers of the control thread. */
+/** Blocking calls are for fibers of the control thread. */
 class HistoryClient
 {
 public:
     HistoryClient(ControlLoop &loop, DeploymentWatcher &watcher, std::string dataCentre);
 
-    /** Claims the tokens of a turn and reads the chain that it continues.
-     * Errors: BudgetSpent; NotFound where no such turn exists; NotReady where that can't be known until @p until. */
+    /** Reserves the tokens of a turn and reads the chain that it continues.
+     * Errors: BudgetSpent; NotFound if the previous turn doesn't exist; NotReady if no quorum answers by @p until. */
     [[nodiscard]] Result<TurnContext> begin(kj::WaitScope &scope, const TurnRequest &start, Instant until);
 
-    /** Writes @p records with a quorum, until @p until. Errors: NotReady. */
+    /** Writes @p records to a write quorum, retrying until @p until. Errors: NotReady. */
     [[nodiscard]] Result<void> write(kj::WaitScope &scope, const std::vector<HistoryRecord> &records, Instant until);
-    /** Writes in the background, without knowing the outcome. */
+    /** Sends @p records to all members without waiting for acks or retrying. */
     void writeInBackground(std::vector<HistoryRecord> records);
 
 private:
-    struct Round;
-    using Calls = std::shared_ptr<Round>;
+    struct QuorumCall;
+    using QuorumCallPtr = std::shared_ptr<QuorumCall>;
 
     kj::Promise<Wire::HistoryStore::Client> storeAt(const HistoryMember &member);
-    [[nodiscard]] std::vector<HistoryMember> nearestFirst() const;
-    void sendBegin(const Calls &round, const HistoryMember &member, const std::shared_ptr<const TurnRequest> &start,
-        bool withChain);
-    /** @return whether the claim lasts and the claims of the others are known. */
-    [[nodiscard]] bool beginRound(kj::WaitScope &scope, const Calls &round, const TurnRequest &start, Instant until);
-    /** Errors: BudgetSpent. The claim is left to the settlement of the turn. */
-    [[nodiscard]] static Result<void> checkBudget(const Round &round, const TurnRequest &start, TurnContext &begun);
-    void sendWrite(const Calls &round, const HistoryView &view, const std::vector<HistoryRecord> &records);
-    void addCall(const Calls &round, const HistoryMember &member, kj::Promise<Wire::HistoryStatus> call);
-    /** Reads what is missing of @p chain. @return it whole, oldest first. */
+    /** Members in the order in which reads try them: current before joining ones, then alive before silent ones, then
+     * those of the own data centre first. */
+    [[nodiscard]] std::vector<HistoryMember> membersByPreference() const;
+    void sendBeginTo(const QuorumCallPtr &quorumCall, const HistoryMember &member,
+        const std::shared_ptr<const TurnRequest> &start, bool withChain);
+    /** Sends a begin call and waits for it. @return whether a write quorum has stored the claim and returned the claims
+     * of the program's other turns; true for a turn without a budget. */
+    [[nodiscard]] bool callBegin(
+        kj::WaitScope &scope, const QuorumCallPtr &quorumCall, const TurnRequest &start, Instant until);
+    /** Errors: BudgetSpent. A rejected claim stays stored until the turn is settled. */
+    [[nodiscard]] static Result<void> checkBudget(
+        const QuorumCall &quorumCall, const TurnRequest &start, TurnContext &context);
+    void sendWrite(const QuorumCallPtr &quorumCall, const HistoryView &view, const std::vector<HistoryRecord> &records);
+    void addCall(const QuorumCallPtr &quorumCall, const HistoryMember &member, kj::Promise<Wire::HistoryStatus> call);
+    /** Reads the missing part of @p chain from other members. @return the complete chain, oldest first. */
     Result<std::vector<std::shared_ptr<const KeptTurn>>> readChain(
         kj::WaitScope &scope, const TurnRequest &start, TurnChain chain, Instant until);
-    bool waitRound(kj::WaitScope &scope, const Calls &round, Instant until);
-    [[nodiscard]] bool pauseBeforeRetry(kj::WaitScope &scope, Instant until);
+    bool waitForCall(kj::WaitScope &scope, const QuorumCallPtr &quorumCall, Instant until);
+    [[nodiscard]] bool waitBeforeRetry(kj::WaitScope &scope, Instant until);
 
     struct IgnoreFailures final : kj::TaskSet::ErrorHandler
     {
         void taskFailed(kj::Exception && /*exception*/) override
         {
-            // Each call takes care of its own failure.
+            // Each call handles its own failure.
         }
     };
 
-    ControlLoop &loop; ///< Outlives this.
-    DeploymentWatcher &watcher; ///< Outlives this.
-    std::string dataCentre; ///< Of this gateway.
-    std::map<std::string, std::unique_ptr<RpcLink>> links; ///< By address.
-    IgnoreFailures failures; ///< Of `tasks`.
-    kj::TaskSet tasks; ///< Calls under way; they go on after a quorum has answered.
+    ControlLoop &loop; ///< Must outlive this object.
+    DeploymentWatcher &watcher; ///< Must outlive this object.
+    std::string dataCentre; ///< Data centre of this gateway.
+    std::map<std::string, std::unique_ptr<RpcLink>> links; ///< Connections by RPC address.
+    IgnoreFailures failures; ///< Error handler of `tasks`.
+    kj::TaskSet tasks; ///< Calls in flight; they continue after a quorum has answered.
 };
 
 } // namespace Chestnuthook
--- a/src/history/history_log_base.cpp
+++ b/src/history/history_log_base.cpp
@@ -1,4 +1,4 @@
-/** @file history_log_base.cpp  Segment files `history-<number>`. */
+/** @file history_log_base.cpp  Reads and writes the segment files `history-<number>`. */
 #include "history/history_log_base.h"
 
 #include <algorithm>
@@ -72,23 +72,23 @@
         return fail(ErrorKind::StorageFailed, "can't read " + path);
     }
     const std::string bytes(std::istreambuf_iterator<char>(stream), {});
-    std::size_t at = 0;
-    for (auto record = findRecord(bytes, at); record; record = findRecord(bytes, at)) {
+    std::size_t offset = 0;
+    for (auto record = findRecord(bytes, offset); record; record = findRecord(bytes, offset)) {
         segment.lastExpiryMs = std::max(segment.lastExpiryMs, onRecord(record->payload));
-        at += RecordHeaderBytes + record->payload.size();
+        offset += RecordHeaderBytes + record->payload.size();
     }
-    if (at == bytes.size()) {
+    if (offset == bytes.size()) {
         return {};
     }
-    if (!isLast) { // A segment is synced whole before the next is begun.
-        return fail(ErrorKind::StorageCorrupt, path + " at byte " + std::to_string(at));
+    if (!isLast) { // A segment is synced completely before the next one is created, so only the last can be torn.
+        return fail(ErrorKind::StorageCorrupt, path + " is corrupt at byte " + std::to_string(offset));
     }
     const int file = ::open(path.c_str(), O_WRONLY | O_CLOEXEC);
-    const bool cut = file >= 0 && ::ftruncate(file, static_cast<off_t>(at)) == 0 && ::fsync(file) == 0;
+    const bool cut = file >= 0 && ::ftruncate(file, static_cast<off_t>(offset)) == 0 && ::fsync(file) == 0;
     if (file >= 0) {
         ::close(file);
     }
-    return cut ? Result<void>() : Result<void>(failErrno("cutting the torn end of " + path));
+    return cut ? Result<void>() : Result<void>(failErrno("truncating the torn end of " + path));
 }
 
 Result<void> HistoryLog::startSegment()
@@ -116,19 +116,20 @@
 Result<void> HistoryLog::sync()
 {
     if (this->failed) {
-        return fail(ErrorKind::StorageFailed, "an earlier write failed");
+        return fail(ErrorKind::StorageFailed, "an earlier write to the history log failed");
     }
-    std::size_t at = 0;
-    while (at < this->unsynced.size()) {
-        const ssize_t written = ::write(this->descriptor, this->unsynced.data() + at, this->unsynced.size() - at);
+    std::size_t offset = 0;
+    while (offset < this->unsynced.size()) {
+        const ssize_t written =
+            ::write(this->descriptor, this->unsynced.data() + offset, this->unsynced.size() - offset);
         if (written <= 0) {
             break;
         }
-        at += static_cast<std::size_t>(written);
+        offset += static_cast<std::size_t>(written);
     }
-    if (at != this->unsynced.size() || ::fdatasync(this->descriptor) != 0) {
+    if (offset != this->unsynced.size() || ::fdatasync(this->descriptor) != 0) {
         this->failed = true;
-        return failErrno("writing the history");
+        return failErrno("writing the history log");
     }
     this->size += this->unsynced.size();
     this->unsynced.clear();
@@ -140,7 +141,7 @@
     bool removed = false;
     while (this->segments.size() > 1 && this->segments.front().lastExpiryMs < nowMs) {
         if (::unlink(this->pathOf(this->segments.front().number).c_str()) != 0) {
-            return failErrno("removing an expired segment");
+            return failErrno("deleting an expired history segment");
         }
         this->segments.pop_front();
         removed = true;
--- a/src/history/history_log_base.h
+++ b/src/history/history_log_base.h
@@ -1,4 +1,4 @@
-/** @file history_log_base.h  The durable part of a history member: records in segment files of the data folder. */
+/** @file history_log_base.h  Durable storage of a history member: a record log in segment files of the data folder. */
 #pragma once
 
 #include <cstdint>
@@ -12,11 +12,12 @@
 namespace Chestnuthook
 {
 
-/** Blocking writes. A torn end of a segment was never acknowledged and is cut off; damage within one is an error. */
+/** Append-only log with blocking writes. An incomplete record at the end of the last segment was never acknowledged and
+ * is truncated; corruption anywhere else is an error. */
 class HistoryLog
 {
 public:
-    /** A segment is closed at this size, in bytes; it is removed once all of it has expired. */
+    /** Size in bytes at which a segment is closed; it is deleted once all of its records have expired. */
     static constexpr std::uint64_t SegmentBytes = 16ULL << 20U;
 
     HistoryLog() = default;
@@ -24,27 +25,27 @@
     HistoryLog &operator=(const HistoryLog &) = delete;
     ~HistoryLog();
 
-    /** Opens or makes the folder and hands each record that is there to @p onRecord, which gives its expiry in
-     * milliseconds since 1970 (0 for none). Errors: StorageFailed, StorageCorrupt. */
+    /** Opens the folder, creating it if needed, and passes each stored record to @p onRecord, which returns its expiry
+     * in milliseconds since 1970 (0 for none). Errors: StorageFailed, StorageCorrupt. */
     [[nodiscard]] Result<void> open(
         const std::string &dataFolder, const std::function<std::uint64_t(std::string_view)> &onRecord);
 
-    /** Adds a record for the next `sync`. */
+    /** Buffers a record until the next `sync`. */
     void append(std::string_view record, std::uint64_t expiresMs);
     [[nodiscard]] bool hasUnsynced() const
     {
         return !this->unsynced.empty();
     }
-    /** Writes and syncs what was appended. Errors: StorageFailed; then nothing more may be written. */
+    /** Writes and syncs the buffered records. Errors: StorageFailed, after which the log must not be used. */
     [[nodiscard]] Result<void> sync();
-    /** Removes closed segments of which all has expired. Errors: StorageFailed. */
+    /** Deletes the oldest closed segments in which every record has expired. Errors: StorageFailed. */
     [[nodiscard]] Result<void> removeExpired(std::uint64_t nowMs);
 
 private:
     struct Segment
     {
-        std::uint64_t number = 0; ///< In its file's name; grows.
-        std::uint64_t lastExpiryMs = 0; ///< Latest expiry of its records.
+        std::uint64_t number = 0; ///< Number in the file name; increases with each segment.
+        std::uint64_t lastExpiryMs = 0; ///< Latest expiry of its records, in milliseconds since 1970.
     };
 
     [[nodiscard]] std::string pathOf(std::uint64_t number) const;
@@ -52,12 +53,12 @@
         Segment &segment, bool isLast, const std::function<std::uint64_t(std::string_view)> &onRecord);
     Result<void> startSegment();
 
-    std::string folder; ///< The data folder.
-    std::deque<Segment> segments; ///< Oldest first; the last is written to.
-    int descriptor = -1; ///< Of the last segment.
-    std::uint64_t size = 0; ///< Of the last segment.
-    std::string unsynced; ///< Bytes for the next sync.
-    bool failed = false; ///< A write failed; the file's end is unknown.
+    std::string folder; ///< Path of the data folder.
+    std::deque<Segment> segments; ///< Oldest first; the last one is open for writing.
+    int descriptor = -1; ///< File descriptor of the last segment.
+    std::uint64_t size = 0; ///< Bytes written to the last segment.
+    std::string unsynced; ///< Encoded records that the next `sync` writes.
+    bool failed = false; ///< A write failed, so the end of the file is undefined.
 };
 
 } // namespace Chestnuthook
--- a/src/history/history_member_base.cpp
+++ b/src/history/history_member_base.cpp
@@ -1,4 +1,4 @@
-/** @file history_member_base.cpp  Service, sync and copies of a history member. */
+/** @file history_member_base.cpp  RPC service, group sync and catch-up copy of a history member. */
 #include "history/history_member_base.h"
 
 #include <utility>
@@ -14,15 +14,15 @@
 namespace
 {
 
-constexpr Duration ExpirePeriod = std::chrono::seconds(5);
+constexpr Duration ExpiryInterval = std::chrono::seconds(5);
 constexpr auto CopyTimeout = 1 * kj::SECONDS;
-/** Records in one answer to a copy, in bytes. */
-constexpr std::size_t CopyBytes = 256U << 10U;
+/** Approximate size of the records in one copy response, in bytes. */
+constexpr std::size_t CopyResponseBytes = 256U << 10U;
 constexpr auto CopyRetryDelay = 150 * kj::MILLISECONDS;
-/** A notice of a view is kept at least this long, in milliseconds. */
-constexpr std::uint64_t SeenViewLifeMs = 3600ULL * 1000;
+/** Least time for which the log keeps the record of a seen view, in milliseconds. */
+constexpr std::uint64_t SeenViewTtlMs = 3600ULL * 1000;
 
-std::uint64_t expiryOf(const HistoryRecord &record)
+std::uint64_t expiryMsOf(const HistoryRecord &record)
 {
     if (const auto *turn = std::get_if<KeptTurn>(&record)) {
         return turn->expiresMs;
@@ -30,7 +30,7 @@
     if (const auto *claim = std::get_if<ProgramClaim>(&record)) {
         return claim->expiresMs;
     }
-    return static_cast<std::uint64_t>(wallMsNow()) + SeenViewLifeMs;
+    return static_cast<std::uint64_t>(wallMsNow()) + SeenViewTtlMs;
 }
 
 class HistoryServer final : public Wire::HistoryStore::Server
@@ -50,7 +50,7 @@
         }
         const HistoryRecord record = readRecord(params.getClaim());
         if (const auto *claim = std::get_if<ProgramClaim>(&record)) {
-            this->member.add(record);
+            this->member.addRecord(record);
             const auto claims = this->member.table.claimsOf(claim->program);
             auto list = results.initClaims(static_cast<unsigned>(claims.size()));
             for (unsigned i = 0; i < claims.size(); ++i) {
@@ -64,7 +64,7 @@
                 this->member.table.chain(textOf(params.getPrevious()), textOf(params.getCustomer()));
             writeChain(results, chain);
         }
-        return this->member.synced();
+        return this->member.whenSynced();
     }
 
     kj::Promise<void> write(WriteContext context) override
@@ -75,9 +75,9 @@
             return kj::READY_NOW;
         }
         for (const auto record : params.getRecords()) {
-            this->member.add(readRecord(record));
+            this->member.addRecord(readRecord(record));
         }
-        return this->member.synced();
+        return this->member.whenSynced();
     }
 
     kj::Promise<void> copy(CopyContext context) override
@@ -88,14 +88,14 @@
             return kj::READY_NOW;
         }
         std::uint64_t position = params.getPosition();
-        const auto records = this->member.table.copyFrom(position, CopyBytes);
+        const auto records = this->member.table.readFrom(position, CopyResponseBytes);
         auto list = results.initRecords(static_cast<unsigned>(records.size()));
         for (unsigned i = 0; i < records.size(); ++i) {
             writeRecord(list[i], records[i]);
         }
         results.setNext(position);
         results.setDone(records.empty());
-        return this->member.synced(); // The notice of the view lasts before the copy counts.
+        return this->member.whenSynced(); // The record of the view must be durable before the copy counts.
     }
 
     kj::Promise<void> chain(ChainContext context) override
@@ -109,11 +109,12 @@
     }
 
 private:
-    /** Tells the caller whether its call is for this member under the view that it names. @return the same. */
+    /** Sets the response status: whether the call is for this member and its view version is current.
+     * @return whether the call is to be served. */
     template<typename Params, typename Results>
     bool isServed(const Params &params, Results &results)
     {
-        const auto status = this->member.check(textOf(params.getIdentity()), params.getView());
+        const auto status = this->member.checkCall(textOf(params.getIdentity()), params.getView());
         results.setStatus(status);
         return status == Wire::HistoryStatus::OK;
     }
@@ -129,7 +130,7 @@
         }
     }
 
-    HistoryMemberDaemon &member; ///< Outlives this.
+    HistoryMemberDaemon &member; ///< Must outlive this object.
 };
 
 } // namespace
@@ -149,16 +150,16 @@
     }
     this->ownIdentity = identityFile.identity();
     done = this->log.open(folder, [this](std::string_view bytes) {
-        const HistoryRecord record = recordOf(bytes);
+        const HistoryRecord record = decodeRecord(bytes);
         this->table.apply(record);
-        return expiryOf(record);
+        return expiryMsOf(record);
     });
     return done;
 }
 
 void HistoryMemberDaemon::start()
 {
-    this->expiring = this->loop.timers().every(ExpirePeriod, [this]() {
+    this->expiryTimer = this->loop.timers().every(ExpiryInterval, [this]() {
         const auto now = static_cast<std::uint64_t>(wallMsNow());
         this->table.expire(now);
         const Result<void> removed = this->log.removeExpired(now);
@@ -168,51 +169,51 @@
     });
 }
 
-Wire::HistoryStatus HistoryMemberDaemon::check(const std::string &calledIdentity, std::uint64_t view)
+Wire::HistoryStatus HistoryMemberDaemon::checkCall(const std::string &calledIdentity, std::uint64_t view)
 {
     if (calledIdentity != this->ownIdentity) {
         return Wire::HistoryStatus::WRONG_MEMBER;
     }
-    if (view < this->table.seenView()) {
+    if (view < this->table.highestSeenView()) {
         return Wire::HistoryStatus::STALE_VIEW;
     }
-    if (view > this->table.seenView()) {
+    if (view > this->table.highestSeenView()) {
         logEvent(EventKind::MembershipChanged, {{"what", "history view seen"}, {"version", std::to_string(view)}});
-        this->add(SeenView{view});
+        this->addRecord(SeenView{view});
     }
     return Wire::HistoryStatus::OK;
 }
 
-void HistoryMemberDaemon::add(const HistoryRecord &record)
+void HistoryMemberDaemon::addRecord(const HistoryRecord &record)
 {
     this->table.apply(record);
-    this->log.append(recordBytes(record), expiryOf(record));
+    this->log.append(encodeRecord(record), expiryMsOf(record));
 }
 
-kj::Promise<void> HistoryMemberDaemon::synced()
+kj::Promise<void> HistoryMemberDaemon::whenSynced()
 {
     if (!this->log.hasUnsynced()) {
         return kj::READY_NOW;
     }
-    if (this->syncing == nullptr) { // One sync for all that arrives in this turn of the loop.
-        this->syncing = kj::evalLater([this]() {
-            this->syncNow();
+    if (this->scheduledSync == nullptr) { // One sync covers all records that arrive in this event loop turn.
+        this->scheduledSync = kj::evalLater([this]() {
+            this->syncLog();
         }).fork();
     }
-    KJ_IF_MAYBE (fork, this->syncing) {
+    KJ_IF_MAYBE (fork, this->scheduledSync) {
         return fork->addBranch();
     }
     return kj::READY_NOW;
 }
 
-void HistoryMemberDaemon::syncNow()
+void HistoryMemberDaemon::syncLog()
 {
-    this->syncing = nullptr;
+    this->scheduledSync = nullptr;
     const Result<void> done = this->log.sync();
     if (!done) {
         logEvent(EventKind::StorageFault, {{"error", errorText(done.error())}});
         this->onStorageFailed(done.error());
-        KJ_FAIL_REQUIRE("the history can't be written");
+        KJ_FAIL_REQUIRE("the history log can't be written");
     }
 }
 
@@ -220,28 +221,28 @@
 {
     const HistoryView &view = this->watcher.view.history;
     const bool joins = view.isChanging() && view.isMember(this->ownIdentity) && !view.isCurrent(this->ownIdentity);
-    if (!joins || this->copying == view.version || this->copied == view.version) {
+    if (!joins || this->copyingVersion == view.version || this->copiedVersion == view.version) {
         return;
     }
-    this->copying = view.version;
+    this->copyingVersion = view.version;
     this->copiedFrom.clear();
     logEvent(EventKind::MembershipChanged, {{"what", "copy begins"}, {"version", std::to_string(view.version)}});
-    this->loop.detach(this->copyAll(view.version));
+    this->loop.detach(this->copyFromCurrentMembers(view.version));
 }
 
-kj::Promise<void> HistoryMemberDaemon::copyAll(std::uint64_t version)
+kj::Promise<void> HistoryMemberDaemon::copyFromCurrentMembers(std::uint64_t version)
 {
     const HistoryView &view = this->watcher.view.history;
     if (view.version != version) {
-        return kj::READY_NOW; // Another view is in force; onViewChanged has begun anew where needed.
+        return kj::READY_NOW; // The view has changed; onViewChanged has started a new copy if needed.
     }
     kj::Vector<kj::Promise<void>> copies;
     for (const HistoryMember &member : view.current) {
         if (!this->copiedFrom.contains(member.identity)) {
             copies.add(
-                this->copyFrom(member, version, 0)
+                this->copyFromMember(member, version, 0)
                     .then([this, identity = member.identity, version]() {
-                        if (this->copying == version) {
+                        if (this->copyingVersion == version) {
                             this->copiedFrom.insert(identity);
                         }
                     })
@@ -253,15 +254,15 @@
     }
     return kj::joinPromises(copies.releaseAsArray())
         .then([this]() {
-            return this->synced();
+            return this->whenSynced();
         })
         .then([this, version]() -> kj::Promise<void> {
-            if (this->copying != version) {
+            if (this->copyingVersion != version) {
                 return kj::READY_NOW;
             }
             if (this->watcher.view.history.mayRead(this->copiedFrom)) {
-                this->copied = version;
-                this->copying = 0;
+                this->copiedVersion = version;
+                this->copyingVersion = 0;
                 logEvent(EventKind::MembershipChanged,
                     {{"what", "copy complete"}, {"version", std::to_string(version)},
                         {"turns", std::to_string(this->table.turnCount())}});
@@ -269,12 +270,12 @@
                 return kj::READY_NOW;
             }
             return this->loop.kjTimer().afterDelay(CopyRetryDelay).then([this, version]() {
-                return this->copyAll(version);
+                return this->copyFromCurrentMembers(version);
             });
         });
 }
 
-kj::Promise<void> HistoryMemberDaemon::copyFrom(HistoryMember from, std::uint64_t version, std::uint64_t position)
+kj::Promise<void> HistoryMemberDaemon::copyFromMember(HistoryMember from, std::uint64_t version, std::uint64_t position)
 {
     auto link = kj::heap<RpcLink>(this->loop.rpc(), from.address);
     auto called = link->services().then([from, version, position](OfferedServices &&services) {
@@ -288,14 +289,14 @@
         .timeoutAfter(CopyTimeout, kj::mv(called))
         .attach(kj::mv(link))
         .then([this, from, version](auto &&response) -> kj::Promise<void> {
-            KJ_REQUIRE(response.getStatus() == Wire::HistoryStatus::OK, "the member refused the copy");
+            KJ_REQUIRE(response.getStatus() == Wire::HistoryStatus::OK, "the history member rejected the copy request");
             for (const auto record : response.getRecords()) {
-                this->add(readRecord(record));
+                this->addRecord(readRecord(record));
             }
             if (response.getDone()) {
                 return kj::READY_NOW;
             }
-            return this->copyFrom(from, version, response.getNext());
+            return this->copyFromMember(from, version, response.getNext());
         });
 }
 
--- a/src/history/history_member_base.h
+++ b/src/history/history_member_base.h
@@ -1,5 +1,5 @@
-/** @file history_member_base.h  One history member: serves its table to gateways, syncs before it acknowledges, and
- * copies what the others hold when it joins. */
+/** @file history_member_base.h  A history member: serves its table to gateways, syncs records before it acknowledges
+ * them, and copies the records of the current members when it joins. */
 #pragma once
 
 #include <cstdint>
@@ -28,7 +28,7 @@
     /** Errors: StorageFailed, StorageCorrupt. */
     [[nodiscard]] Result<void> open(const std::string &folder, const std::string &name);
     void start();
-    /** To be called after each update of the watcher. */
+    /** Must be called after each update of the watcher. Starts the copy when this member joins. */
     void onViewChanged();
 
     [[nodiscard]] Wire::HistoryStore::Client makeService();
@@ -36,37 +36,38 @@
     {
         return this->ownIdentity;
     }
-    /** View for which all is copied; 0 for none. */
+    /** Version of the view for which the copy is complete; 0 for none. */
     [[nodiscard]] std::uint64_t copiedView() const
     {
-        return this->copied;
+        return this->copiedVersion;
     }
-    /** Called with the error when the folder can't be written any more. */
+    /** Called with the error when the data folder can't be written any more. */
     std::function<void(const Error &)> onStorageFailed;
 
     // For the HistoryStore service.
-    /** Whether a call for @p calledIdentity under @p view may be served; takes notice of a newer view. */
-    [[nodiscard]] Wire::HistoryStatus check(const std::string &calledIdentity, std::uint64_t view);
-    void add(const HistoryRecord &record);
-    /** Resolves once all that was added lasts. */
-    [[nodiscard]] kj::Promise<void> synced();
+    /** Whether a call addressed to @p calledIdentity under view version @p view may be served. Records a newer version,
+     * after which calls under older ones are rejected. */
+    [[nodiscard]] Wire::HistoryStatus checkCall(const std::string &calledIdentity, std::uint64_t view);
+    void addRecord(const HistoryRecord &record);
+    /** Resolves once all records added so far are durable. */
+    [[nodiscard]] kj::Promise<void> whenSynced();
 
-    HistoryTable table; ///< What this member holds; the log holds the same.
+    HistoryTable table; ///< Records of this member; the log holds the same ones.
 
 private:
-    kj::Promise<void> copyAll(std::uint64_t version);
-    kj::Promise<void> copyFrom(HistoryMember from, std::uint64_t version, std::uint64_t position);
-    void syncNow();
+    kj::Promise<void> copyFromCurrentMembers(std::uint64_t version);
+    kj::Promise<void> copyFromMember(HistoryMember from, std::uint64_t version, std::uint64_t position);
+    void syncLog();
 
-    ControlLoop &loop; ///< Outlives this.
-    DeploymentWatcher &watcher; ///< Outlives this.
-    std::string ownIdentity; ///< Of the data folder.
-    HistoryLog log; ///< The durable records.
-    std::uint64_t copied = 0; ///< View for which all is copied.
-    std::uint64_t copying = 0; ///< View for which a copy is under way; 0 for none.
-    std::set<std::string> copiedFrom; ///< Members whose records are here, for `copying`.
-    kj::Maybe<kj::ForkedPromise<void>> syncing; ///< The next sync, while it is planned.
-    TimerSubscription expiring; ///< Drops what has expired.
+    ControlLoop &loop; ///< Must outlive this object.
+    DeploymentWatcher &watcher; ///< Must outlive this object.
+    std::string ownIdentity; ///< Identity of the data folder.
+    HistoryLog log; ///< Durable copy of `table`.
+    std::uint64_t copiedVersion = 0; ///< Version of the view for which the copy is complete.
+    std::uint64_t copyingVersion = 0; ///< Version of the view for which a copy is running; 0 for none.
+    std::set<std::string> copiedFrom; ///< Identities of the members copied from, for `copyingVersion`.
+    kj::Maybe<kj::ForkedPromise<void>> scheduledSync; ///< The next sync while it is scheduled.
+    TimerSubscription expiryTimer; ///< Deletes expired records.
 };
 
 } // namespace Chestnuthook
--- a/src/history/history_table_base.cpp
+++ b/src/history/history_table_base.cpp
@@ -1,4 +1,4 @@
-/** @file history_table_base.cpp  Records of the history, applied and read. */
+/** @file history_table_base.cpp  Encoding of history records, and the table that they build. */
 #include "history/history_table_base.h"
 
 #include <capnp/message.h>
@@ -57,14 +57,14 @@
     }
 }
 
-std::string recordBytes(const HistoryRecord &record)
+std::string encodeRecord(const HistoryRecord &record)
 {
     capnp::MallocMessageBuilder message;
     writeRecord(message.initRoot<Wire::HistoryRecord>(), record);
     return flatBytes(message);
 }
 
-HistoryRecord recordOf(std::string_view bytes)
+HistoryRecord decodeRecord(std::string_view bytes)
 {
     FlatMessage message(bytes);
     return readRecord(message.root<Wire::HistoryRecord>());
@@ -74,14 +74,14 @@
 {
     if (const auto *turn = std::get_if<KeptTurn>(&record)) {
         if (this->turns.try_emplace(turn->id, std::make_shared<KeptTurn>(*turn)).second) {
-            this->order.emplace(this->nextPosition++, Place{{}, turn->id});
+            this->arrivals.emplace(this->nextPosition++, RecordKey{{}, turn->id});
         }
     } else if (const auto *seen = std::get_if<SeenView>(&record)) {
         this->view = std::max(this->view, seen->version);
     } else if (const auto *claim = std::get_if<ProgramClaim>(&record)) {
         auto [entry, isNew] = this->claims[claim->program].try_emplace(claim->claim.turn);
         if (isNew) {
-            this->order.emplace(this->nextPosition++, Place{claim->program, claim->claim.turn});
+            this->arrivals.emplace(this->nextPosition++, RecordKey{claim->program, claim->claim.turn});
         }
         if (isNew || claim->claim.settled) {
             entry->second = ClaimEntry{claim->claim, claim->expiresMs};
@@ -91,18 +91,18 @@
 
 void HistoryTable::expire(std::uint64_t nowMs)
 {
-    for (auto at = this->order.begin(); at != this->order.end();) {
-        const Place &place = at->second;
+    for (auto at = this->arrivals.begin(); at != this->arrivals.end();) {
+        const RecordKey &key = at->second;
         bool expired = false;
-        if (place.program.empty()) {
-            const auto turn = this->turns.find(place.turn);
+        if (key.program.empty()) {
+            const auto turn = this->turns.find(key.turn);
             expired = turn->second->expiresMs < nowMs;
             if (expired) {
                 this->turns.erase(turn);
             }
         } else {
-            const auto program = this->claims.find(place.program);
-            const auto claim = program->second.find(place.turn);
+            const auto program = this->claims.find(key.program);
+            const auto claim = program->second.find(key.turn);
             expired = claim->second.expiresMs < nowMs;
             if (expired) {
                 program->second.erase(claim);
@@ -111,7 +111,7 @@
                 this->claims.erase(program);
             }
         }
-        at = expired ? this->order.erase(at) : std::next(at);
+        at = expired ? this->arrivals.erase(at) : std::next(at);
     }
 }
 
@@ -143,28 +143,28 @@
     return chain;
 }
 
-std::vector<HistoryRecord> HistoryTable::copyFrom(std::uint64_t &position, std::size_t bytes) const
+std::vector<HistoryRecord> HistoryTable::readFrom(std::uint64_t &position, std::size_t bytes) const
 {
-    constexpr std::size_t ClaimBytes = 100;
+    constexpr std::size_t RecordOverheadBytes = 100;
     std::vector<HistoryRecord> records;
     std::size_t size = 0;
-    for (auto at = this->order.lower_bound(position); at != this->order.end() && size < bytes; ++at) {
-        const Place &place = at->second;
-        if (place.program.empty()) {
-            const auto &turn = this->turns.at(place.turn);
+    for (auto at = this->arrivals.lower_bound(position); at != this->arrivals.end() && size < bytes; ++at) {
+        const RecordKey &key = at->second;
+        if (key.program.empty()) {
+            const auto &turn = this->turns.at(key.turn);
             records.emplace_back(*turn);
-            size += turn->input.size() + turn->output.size() + ClaimBytes;
+            size += turn->input.size() + turn->output.size() + RecordOverheadBytes;
         } else {
-            const ClaimEntry &entry = this->claims.at(place.program).at(place.turn);
-            records.emplace_back(ProgramClaim{place.program, entry.claim, entry.expiresMs});
-            size += ClaimBytes;
+            const ClaimEntry &entry = this->claims.at(key.program).at(key.turn);
+            records.emplace_back(ProgramClaim{key.program, entry.claim, entry.expiresMs});
+            size += RecordOverheadBytes;
         }
         position = at->first + 1;
     }
     return records;
 }
 
-std::uint64_t claimedTokens(const std::vector<std::vector<TokenClaim>> &answers, const std::string &except)
+std::uint64_t claimedTokens(const std::vector<std::vector<TokenClaim>> &answers, const std::string &excludedTurn)
 {
     std::unordered_map<std::string, TokenClaim> byTurn;
     for (const auto &answer : answers) {
@@ -177,7 +177,7 @@
     }
     std::uint64_t sum = 0;
     for (const auto &[turn, claim] : byTurn) {
-        sum += turn == except ? 0 : claim.tokens;
+        sum += turn == excludedTurn ? 0 : claim.tokens;
     }
     return sum;
 }
--- a/src/history/history_table_base.h
+++ b/src/history/history_table_base.h
@@ -1,4 +1,4 @@
-/** @file history_table_base.h  Kept turns and programs' token claims of one history member. Pure: no I/O, no clock. */
+/** @file history_table_base.h  Stored turns and token claims of one history member, in memory. No I/O, no clock. */
 #pragma once
 
 #include <cstdint>
@@ -16,40 +16,40 @@
 namespace Chestnuthook
 {
 
-/** Tokens of one turn of a program. */
+/** Tokens that one turn takes from the budget of its program. */
 struct TokenClaim
 {
-    std::string turn; ///< Id of the request.
-    std::uint32_t tokens = 0; ///< The most that it may generate; once settled, what it did generate.
+    std::string turn; ///< Request id of the turn.
+    std::uint32_t tokens = 0; ///< Most tokens it may generate; once settled, the number it generated.
     bool settled = false; ///< The turn has ended.
     bool operator==(const TokenClaim &) const = default;
 };
 
-/** A turn that was answered whole. */
+/** A turn whose response was completed. */
 struct KeptTurn
 {
-    std::string id; ///< Id of its request.
-    std::string previous; ///< The turn that it continues; empty at the start of a chain.
-    std::string customer; ///< Whose it is.
-    std::string input; ///< Body of its request.
-    std::string output; ///< Data of each event, each followed by a line feed.
+    std::string id; ///< Request id of the turn.
+    std::string previous; ///< Id of the turn that it continues; empty at the start of a chain.
+    std::string customer; ///< Customer that owns the turn.
+    std::string input; ///< Request body.
+    std::string output; ///< Data of the response events, each followed by a line feed.
     std::uint64_t expiresMs = 0; ///< Wall clock, milliseconds since 1970.
     bool operator==(const KeptTurn &) const = default;
 };
 
-/** A claim of a program. */
+/** A token claim with its program. */
 struct ProgramClaim
 {
-    std::string program; ///< Customer and program.
-    TokenClaim claim; ///< Of one turn.
+    std::string program; ///< Customer and program id.
+    TokenClaim claim; ///< Claim of one turn.
     std::uint64_t expiresMs = 0; ///< Wall clock, milliseconds since 1970.
     bool operator==(const ProgramClaim &) const = default;
 };
 
-/** Highest view that a member has taken notice of. */
+/** Records that a member has accepted a call under this view; calls under older views are rejected. */
 struct SeenView
 {
-    std::uint64_t version = 0; ///< Of the view.
+    std::uint64_t version = 0; ///< Version of the view.
     bool operator==(const SeenView &) const = default;
 };
 
@@ -57,37 +57,37 @@
 
 [[nodiscard]] HistoryRecord readRecord(Wire::HistoryRecord::Reader reader);
 void writeRecord(Wire::HistoryRecord::Builder builder, const HistoryRecord &record);
-[[nodiscard]] std::string recordBytes(const HistoryRecord &record);
-[[nodiscard]] HistoryRecord recordOf(std::string_view bytes);
+[[nodiscard]] std::string encodeRecord(const HistoryRecord &record);
+[[nodiscard]] HistoryRecord decodeRecord(std::string_view bytes);
 void writeTurn(Wire::KeptTurn::Builder builder, const KeptTurn &turn);
 [[nodiscard]] KeptTurn readTurn(Wire::KeptTurn::Reader reader);
 
-/** Turns from one backwards. */
+/** A turn and those before it. */
 struct TurnChain
 {
     std::vector<std::shared_ptr<const KeptTurn>> turns; ///< Newest first.
-    std::string missing; ///< A turn of the chain that isn't here; empty where the chain is whole.
+    std::string missing; ///< Id of the first turn that isn't stored here; empty if the chain is complete.
 };
 
 class HistoryTable
 {
 public:
     void apply(const HistoryRecord &record);
-    /** Drops what has expired. */
+    /** Deletes records that expired before @p nowMs, in milliseconds since 1970. */
     void expire(std::uint64_t nowMs);
 
     [[nodiscard]] std::vector<TokenClaim> claimsOf(const std::string &program) const;
-    /** The chain that ends at @p turn; turns of other customers count as missing. */
+    /** The chain that ends at @p turn. Turns of other customers count as missing. */
     [[nodiscard]] TurnChain chain(const std::string &turn, const std::string &customer) const;
-    /** Records from @p position on, up to about @p bytes; @p position becomes the place after them. Empty at the end.
-     */
-    [[nodiscard]] std::vector<HistoryRecord> copyFrom(std::uint64_t &position, std::size_t bytes) const;
+    /** Records from @p position on, about @p bytes of them. Advances @p position past them. Empty at the end of the
+     * table. */
+    [[nodiscard]] std::vector<HistoryRecord> readFrom(std::uint64_t &position, std::size_t bytes) const;
 
     [[nodiscard]] std::size_t turnCount() const
     {
         return this->turns.size();
     }
-    [[nodiscard]] std::uint64_t seenView() const
+    [[nodiscard]] std::uint64_t highestSeenView() const
     {
         return this->view;
     }
@@ -95,25 +95,26 @@
 private:
     struct ClaimEntry
     {
-        TokenClaim claim; ///< Latest state; never goes back from settled.
-        std::uint64_t expiresMs = 0; ///< Of the claim.
+        TokenClaim claim; ///< Latest state; a settled claim never becomes unsettled.
+        std::uint64_t expiresMs = 0; ///< Wall clock, milliseconds since 1970.
     };
-    /** A turn, or a claim of a program, in the order in which they came. */
-    struct Place
+    /** Identifies a turn or a claim. */
+    struct RecordKey
     {
-        std::string program; ///< Empty for a turn.
-        std::string turn; ///< Id.
+        std::string program; ///< Program of a claim; empty for a turn.
+        std::string turn; ///< Request id of the turn.
     };
 
-    std::unordered_map<std::string, std::shared_ptr<const KeptTurn>> turns; ///< By id. Never changed once there.
-    std::unordered_map<std::string, std::map<std::string, ClaimEntry>> claims; ///< By program and turn.
-    std::map<std::uint64_t, Place> order; ///< What came when; for copies.
-    std::uint64_t nextPosition = 1; ///< Of `order`.
-    std::uint64_t view = 0; ///< Never falls.
+    std::unordered_map<std::string, std::shared_ptr<const KeptTurn>> turns; ///< By id. Entries never change.
+    std::unordered_map<std::string, std::map<std::string, ClaimEntry>> claims; ///< By program, then by turn.
+    std::map<std::uint64_t, RecordKey> arrivals; ///< Records by order of arrival, which is the order of copies.
+    std::uint64_t nextPosition = 1; ///< Next key of `arrivals`.
+    std::uint64_t view = 0; ///< Highest version of a SeenView; never decreases.
 };
 
-/** Tokens that a program's claims take up; where members differ, the settled state counts. */
+/** Sum of the tokens that a program's turns have claimed, without @p excludedTurn. @p answers are the claims that each
+ * member returned; where they differ, the settled claim counts. */
 [[nodiscard]] std::uint64_t claimedTokens(
-    const std::vector<std::vector<TokenClaim>> &answers, const std::string &except);
+    const std::vector<std::vector<TokenClaim>> &answers, const std::string &excludedTurn);
 
 } // namespace Chestnuthook
--- a/tests/unit/history_table_test.cpp
+++ b/tests/unit/history_table_test.cpp
@@ -1,4 +1,4 @@
-/** @file history_table_test.cpp  Kept turns, token claims, their log, and what a torn or damaged log gives. */
+/** @file history_table_test.cpp  Stored turns, token claims, and recovery from a torn or corrupt log. */
 #define BOOST_TEST_MODULE history_table
 #include <boost/test/unit_test.hpp>
 
@@ -40,7 +40,7 @@
     Folder(const Folder &) = delete;
     Folder &operator=(const Folder &) = delete;
 
-    const std::filesystem::path path; ///< Removed at the end.
+    const std::filesystem::path path; ///< Deleted by the destructor.
 };
 
 std::vector<HistoryRecord> readAll(const std::string &folder, Result<void> &outcome)
@@ -48,7 +48,7 @@
     std::vector<HistoryRecord> records;
     HistoryLog log;
     outcome = log.open(folder, [&records](std::string_view bytes) {
-        records.push_back(recordOf(bytes));
+        records.push_back(decodeRecord(bytes));
         return std::uint64_t(1000);
     });
     return records;
@@ -56,7 +56,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(a_chain_is_read_back_to_its_start)
+BOOST_AUTO_TEST_CASE(chain_is_read_to_its_first_turn)
 {
     HistoryTable table;
     table.apply(turn("1", ""));
@@ -69,7 +69,7 @@
     BOOST_TEST(chain.turns[1]->id == "1");
 }
 
-BOOST_AUTO_TEST_CASE(a_turn_of_another_customer_is_missing)
+BOOST_AUTO_TEST_CASE(turn_of_another_customer_counts_as_missing)
 {
     HistoryTable table;
     table.apply(turn("1", "", "other"));
@@ -78,7 +78,7 @@
     BOOST_TEST(chain.missing == "1");
 }
 
-BOOST_AUTO_TEST_CASE(a_member_that_missed_a_turn_tells_where_the_chain_breaks)
+BOOST_AUTO_TEST_CASE(chain_names_the_first_missing_turn)
 {
     HistoryTable table;
     table.apply(turn("1", ""));
@@ -88,7 +88,7 @@
     BOOST_TEST(chain.missing == "2");
 }
 
-BOOST_AUTO_TEST_CASE(a_settled_claim_never_goes_back)
+BOOST_AUTO_TEST_CASE(settled_claim_never_becomes_unsettled)
 {
     HistoryTable table;
     table.apply(claim("t", 30, true));
@@ -98,7 +98,7 @@
     BOOST_TEST(claimedTokens({{{"t", 288, false}, {"u", 10, true}}}, "t") == 10U);
 }
 
-BOOST_AUTO_TEST_CASE(a_copy_holds_all_records)
+BOOST_AUTO_TEST_CASE(copy_in_chunks_holds_all_records)
 {
     HistoryTable table;
     for (int i = 0; i < 50; ++i) {
@@ -107,7 +107,7 @@
     }
     HistoryTable copy;
     std::uint64_t position = 0;
-    for (auto records = table.copyFrom(position, 500); !records.empty(); records = table.copyFrom(position, 500)) {
+    for (auto records = table.readFrom(position, 500); !records.empty(); records = table.readFrom(position, 500)) {
         for (const HistoryRecord &record : records) {
             copy.apply(record);
         }
@@ -116,7 +116,7 @@
     BOOST_TEST((copy.claimsOf("glue/p") == table.claimsOf("glue/p")));
 }
 
-BOOST_AUTO_TEST_CASE(what_has_expired_is_dropped)
+BOOST_AUTO_TEST_CASE(expired_records_are_deleted)
 {
     HistoryTable table;
     table.apply(turn("1", ""));
@@ -128,7 +128,7 @@
     BOOST_TEST(table.claimsOf("glue/p").empty());
 }
 
-BOOST_AUTO_TEST_CASE(the_log_gives_back_what_was_synced_and_cuts_a_torn_end)
+BOOST_AUTO_TEST_CASE(log_returns_synced_records_and_truncates_a_torn_end)
 {
     const Folder folder;
     {
@@ -136,9 +136,9 @@
         BOOST_REQUIRE(log.open(folder.path, [](std::string_view) {
             return std::uint64_t(0);
         }));
-        log.append(recordBytes(turn("1", "")), 1000);
-        log.append(recordBytes(claim("1", 5, true)), 1000);
-        log.append(recordBytes(SeenView{7}), 1000);
+        log.append(encodeRecord(turn("1", "")), 1000);
+        log.append(encodeRecord(claim("1", 5, true)), 1000);
+        log.append(encodeRecord(SeenView{7}), 1000);
         BOOST_REQUIRE(log.sync());
     }
     std::ofstream(folder.path / "history-1", std::ios::app | std::ios::binary) << "torn";
@@ -152,7 +152,7 @@
     BOOST_TEST(outcome.has_value());
 }
 
-BOOST_AUTO_TEST_CASE(damage_in_a_closed_segment_is_an_error)
+BOOST_AUTO_TEST_CASE(corruption_in_a_closed_segment_is_an_error)
 {
     const Folder folder;
     for (int i = 0; i < 2; ++i) {
@@ -160,7 +160,7 @@
         BOOST_REQUIRE(log.open(folder.path, [](std::string_view) {
             return std::uint64_t(0);
         }));
-        log.append(recordBytes(turn("1", "")), 1000);
+        log.append(encodeRecord(turn("1", "")), 1000);
         BOOST_REQUIRE(log.sync());
     }
     std::fstream file(folder.path / "history-1", std::ios::in | std::ios::out | std::ios::binary);
@@ -173,7 +173,7 @@
     BOOST_TEST((outcome.error().kind == ErrorKind::StorageCorrupt));
 }
 
-BOOST_AUTO_TEST_CASE(closed_segments_go_when_all_of_them_has_expired)
+BOOST_AUTO_TEST_CASE(closed_segment_is_deleted_when_all_its_records_have_expired)
 {
     const Folder folder;
     HistoryLog log;
@@ -184,7 +184,7 @@
     const std::string large(HistoryLog::SegmentBytes, 'x');
     KeptTurn big = turn("1", "");
     big.input = large;
-    log.append(recordBytes(big), 1000);
+    log.append(encodeRecord(big), 1000);
     BOOST_REQUIRE(log.sync());
     BOOST_TEST(std::filesystem::exists(folder.path / "history-1"));
     BOOST_REQUIRE(log.removeExpired(1000));
