--- a/src/deployment/credit_pool_base.h
+++ b/src/deployment/credit_pool_base.h
@@ -28,8 +28,8 @@
 class CreditPool
 {
 public:
-    /** Tells that @p silent of @p gateways don't report. They may go on admitting requests out of their own share of
-     * the rate, so the leader doesn't grant that share. */
+    /** Sets the number of known gateways, and how many of them are silent. A silent gateway may go on admitting
+     * requests out of its own share of the rate, so the leader doesn't grant that share. */
     void setGatewayCounts(std::size_t gateways, std::size_t silent);
 
     /** @return how many of the requests in @p request may be admitted, those of running programs first. A program makes
--- a/src/deployment/deployment_member_base.h
+++ b/src/deployment/deployment_member_base.h
@@ -73,6 +73,7 @@
      * milliseconds. */
     [[nodiscard]] kj::Promise<void> awaitUpdate(
         Wire::InstanceReport::Reader report, Wire::HeldVersions::Reader held, unsigned waitMs);
+    /** Writes the parts that are newer than @p held; only the leader's address if this member isn't the leader. */
     void writeUpdate(Wire::HeldVersions::Reader held, Wire::Update::Builder update);
     [[nodiscard]] bool isLeader() const
     {
@@ -101,8 +102,8 @@
     DeploymentWatcher watcher; ///< Follows the leader while another member leads.
 
     // State of the leader. Versions are comparable within one term only.
-    std::uint64_t leaderTerm = 0; ///< Term of this state.
-    Instant leaderSince{0}; ///< Start of the term.
+    std::uint64_t leaderTerm = 0; ///< Term to which this state belongs.
+    Instant leaderSince{0}; ///< When this member became leader in that term.
     InstanceRegistry registry; ///< Daemons that report to this member.
     std::uint64_t instancesVersion = 0; ///< Version of the alive instances in `registry`.
     std::vector<DeployedEndpoint> endpoints; ///< Endpoint list as last read.
--- a/src/deployment/deployment_watcher_base.h
+++ b/src/deployment/deployment_watcher_base.h
@@ -99,7 +99,7 @@
 
     ControlLoop &loop; ///< Must outlive this object.
     std::vector<std::string> seeds; ///< RPC addresses of control members, from the settings.
-    std::string target; ///< RPC address of the member to watch.
+    std::string target; ///< RPC address of the member to call next.
     std::size_t nextCandidate = 0; ///< Index of the known address to try next, modulo their number.
     std::map<std::string, std::unique_ptr<RpcLink>> links; ///< Connections by RPC address.
     std::uint64_t endpointsVersion = 0; ///< Valid within `view.term`.
@@ -107,7 +107,7 @@
     std::uint64_t quarantineVersion = 0; ///< Valid within `view.term`.
     Instant lastAnswer{0}; ///< Time of the last answer of a leader.
     kj::Own<kj::PromiseFulfiller<void>> interrupt; ///< Ends the current watch.
-    bool isReportPending = false; ///< The next watch must not wait, to report at once.
+    bool isReportPending = false; ///< The next watch returns at once instead of waiting for an update.
     Instant unansweredSince{0}; ///< Start of the first unanswered watch; 0 if none.
     unsigned failedProbes = 0; ///< Failed calls since a leader answered, at most MaxProbeSteps.
 };
--- a/src/deployment/group_plan_func.h
+++ b/src/deployment/group_plan_func.h
@@ -37,10 +37,10 @@
 
 /** A member without a report for this long is removed; it is added again when it comes back. */
 constexpr Duration MemberLostTimeout = std::chrono::seconds(5);
-/** Smallest group: silent members are removed only from larger ones. */
+/** Silent members are removed only while the group has more members than this. */
 constexpr std::size_t MinMembers = 3;
 
-/** The next change, if any: adding @p alive instances one at a time, then removing a silent member. */
+/** The next change, if any. Adding an alive instance takes precedence over removing a silent member. */
 [[nodiscard]] std::optional<GroupChange> planGroupChange(
     const std::vector<GroupMemberState> &members, const std::vector<GroupCandidate> &alive);
 
--- a/src/deployment/instance_registry_base.h
+++ b/src/deployment/instance_registry_base.h
@@ -34,7 +34,7 @@
  * an unresponsive member loses a second, so clients should ask rarely. But a stopping gateway has to serve until the
  * last client has asked again. */
 [[nodiscard]] Duration gatewayListTtl(Duration stopGrace);
-/** Some clients cache a list for this many times as long as told. */
+/** Some clients cache a gateway list for up to this many times its TTL. */
 inline constexpr int MaxTtlOverrunFactor = 3;
 
 /** Used by the control thread of the leader only. */
--- a/src/history/history_client_base.cpp
+++ b/src/history/history_client_base.cpp
@@ -75,14 +75,14 @@
     std::vector<HistoryMember> members = this->watcher.view.history.members();
     const auto isNear = [this](const HistoryMember &member) {
         const auto &instances = this->watcher.view.instances;
-        return std::any_of(instances.begin(), instances.end(), [&](const InstanceInfo &one) {
-            return one.name == member.name && one.dataCentre == this->dataCentre;
+        return std::any_of(instances.begin(), instances.end(), [&](const InstanceInfo &instance) {
+            return instance.name == member.name && instance.dataCentre == this->dataCentre;
         });
     };
     const auto isAlive = [this](const HistoryMember &member) {
         const auto &instances = this->watcher.view.instances;
-        return std::any_of(instances.begin(), instances.end(), [&](const InstanceInfo &one) {
-            return one.name == member.name;
+        return std::any_of(instances.begin(), instances.end(), [&](const InstanceInfo &instance) {
+            return instance.name == member.name;
         });
     };
     std::stable_sort(members.begin(), members.end(), [&](const HistoryMember &a, const HistoryMember &b) {
--- a/src/history/history_member_base.h
+++ b/src/history/history_member_base.h
@@ -19,7 +19,7 @@
 namespace Chestnuthook
 {
 
-/** For the control thread. */
+/** Used by the control thread only. */
 class HistoryMemberDaemon
 {
 public:
--- a/src/history/history_table_base.h
+++ b/src/history/history_table_base.h
@@ -62,7 +62,7 @@
 void writeTurn(Wire::KeptTurn::Builder builder, const KeptTurn &turn);
 [[nodiscard]] KeptTurn readTurn(Wire::KeptTurn::Reader reader);
 
-/** A turn and those before it. */
+/** A turn and the turns that it continues, back to the first one. */
 struct TurnChain
 {
     std::vector<std::shared_ptr<const KeptTurn>> turns; ///< Newest first.
