--- a/bench/capacity_bench.cpp
+++ b/bench/capacity_bench.cpp
@@ -36,14 +36,14 @@
 namespace
 {
 
-constexpr int TargetTenants = 23000;
+constexpr int TargetCustomers = 23000;
 constexpr int TargetEntries = 350;
-constexpr const char *TenantJson = R"({"rate":5,"burst":15,"weight":1})";
+constexpr const char *CustomerJson = R"({"rate":5,"burst":15,"weight":1})";
 
 /** How much of each measurement is done; the short form is for CI, which judges no time. */
 struct Extent
 {
-    int tenants = TargetTenants; ///< Tenants and keys of the fleet state.
+    int customers = TargetCustomers; ///< Customers and keys of the fleet state.
     int entries = TargetEntries; ///< Leases of the fleet state.
     int repeats = 200; ///< Runs of a cheap operation.
     int calls = 300; ///< Calls to the real entry.
@@ -69,7 +69,7 @@
         for (int i = 0; i < count; ++i) {
             changes[static_cast<unsigned>(i)].setSection("tenants");
             changes[static_cast<unsigned>(i)].setName("tenant-" + std::to_string(first + i));
-            changes[static_cast<unsigned>(i)].setJson(TenantJson);
+            changes[static_cast<unsigned>(i)].setJson(CustomerJson);
         }
     });
 }
@@ -130,13 +130,13 @@
     FleetState state;
     std::uint64_t index = 0;
     double before = heapBytes();
-    state.apply(++index, applyCommand(0, 0, extent.tenants));
-    printSlope("tenant_state_bytes", (heapBytes() - before) / extent.tenants);
+    state.apply(++index, applyCommand(0, 0, extent.customers));
+    printSlope("tenant_state_bytes", (heapBytes() - before) / extent.customers);
     before = heapBytes();
-    for (int i = 0; i < extent.tenants; ++i) {
+    for (int i = 0; i < extent.customers; ++i) {
         state.apply(++index, keyCommand(i));
     }
-    printSlope("key_state_bytes", (heapBytes() - before) / extent.tenants);
+    printSlope("key_state_bytes", (heapBytes() - before) / extent.customers);
     state.apply(++index, leaseCommand(0));
     before = heapBytes();
     for (int i = 1; i < extent.entries; ++i) {
@@ -148,20 +148,20 @@
     }));
     before = heapBytes();
     std::shared_ptr<const FleetView> view = makeView(state);
-    printSlope("view_tenant_bytes", (heapBytes() - before) / extent.tenants);
+    printSlope("view_tenant_bytes", (heapBytes() - before) / extent.customers);
     printSlope("view_make_us_per_tenant", processorUsOf(5, [&](int) {
         view = makeView(state);
-    }) / extent.tenants);
+    }) / extent.customers);
     view.reset();
     std::string snapshot;
     printSlope("snapshot_us_per_tenant", processorUsOf(5, [&](int) {
         snapshot = state.snapshot();
-    }) / extent.tenants);
-    printSlope("snapshot_tenant_bytes", static_cast<double>(snapshot.size()) / extent.tenants);
+    }) / extent.customers);
+    printSlope("snapshot_tenant_bytes", static_cast<double>(snapshot.size()) / extent.customers);
     printSlope("restore_us_per_tenant", processorUsOf(3, [&](int) {
         FleetState copy;
         copy.restore(snapshot);
-    }) / extent.tenants);
+    }) / extent.customers);
     measureDeltas(extent, state, index);
 }
 
@@ -214,7 +214,7 @@
 /** Programs without calls. */
 void measurePrograms(const Extent &extent)
 {
-    const int count = extent.tenants;
+    const int count = extent.customers;
     JournalState journal;
     const double before = heapBytes();
     for (int i = 0; i < count; ++i) {
@@ -265,7 +265,7 @@
     printSlope("log_sync_wall_us", wall.count() / extent.repeats);
 }
 
-/** Answers admission questions from buckets, as the owner of the tenants' slots does. */
+/** Answers admission questions from buckets, as the owner of the customers' slots does. */
 class BucketPeer final : public Wire::EntryPeer::Server
 {
 public:
@@ -283,7 +283,7 @@
 
 private:
     Instant now; ///< A clock of its own.
-    std::map<std::string, TokenBucket> buckets; ///< By tenant.
+    std::map<std::string, TokenBucket> buckets; ///< By customer.
 };
 
 /** Processor time of both ends for one call that asks for @p batch admissions. */
@@ -440,7 +440,7 @@
 {
     Extent extent;
     if (argc > 1 && std::strcmp(argv[1], "--smoke") == 0) {
-        extent = Extent{.tenants = 500,
+        extent = Extent{.customers = 500,
             .entries = 20,
             .repeats = 20,
             .calls = 10,
--- a/bench/control_bench.cpp
+++ b/bench/control_bench.cpp
@@ -183,7 +183,7 @@
 /** Time until all entries refuse a key that is withdrawn, right after the leader was cut off where @p isolate. */
 double withdrawalMs(const ProcessFleet &fleet, ControlProbe &probe, bool isolate)
 {
-    const std::string issued = fleet.ctl({"keys", "issue", fleet.tenant}).output;
+    const std::string issued = fleet.ctl({"keys", "issue", fleet.customer}).output;
     const std::string id = issued.substr(3, issued.find('\n') - 3);
     const std::size_t at = issued.find("key chk-") + 4;
     const std::string key = issued.substr(at, issued.find('\n', at) - at);
--- a/bench/model/fleet_model.h
+++ b/bench/model/fleet_model.h
@@ -29,7 +29,7 @@
 /** What can be turned off or varied beside the rules. */
 struct Options
 {
-    bool fair = true; ///< Tenants' counters.
+    bool fair = true; ///< Customers' counters.
     bool prefixIndex = true; ///< Knowledge of caches.
     bool releaseEnded = true; ///< Ended programs' cache is released.
     LoadSource load = LoadSource::Counts; ///< For the choice of endpoints.
@@ -50,7 +50,7 @@
     double endedTokenSeconds = 0; ///< Cache held by ended programs.
     double worstShare = 0; ///< Least of served over fair share, at the end of the burst.
     double worstShareOfAllDemand = 0; ///< The same with all of the calls under way as demand.
-    double worstLatency = 0; ///< Largest mean of a tenant within its share, in seconds.
+    double worstLatency = 0; ///< Largest mean of a customer within its share, in seconds.
     double retries = 0; ///< Calls that an engine's loss sent elsewhere.
     std::size_t ended = 0; ///< Programs.
 };
@@ -66,7 +66,7 @@
         , keep(keeping)
         , programs(given.programs.size())
         , fairness(how.dispatchers)
-        , served(given.tenants.size(), 0)
+        , served(given.customers.size(), 0)
     {
         for (std::size_t i = 0; i < how.engines; ++i) {
             this->hosts.emplace_back(EndpointBounds{EngineShape{}.batch, SIZE_MAX, how.fair}, order);
@@ -77,8 +77,8 @@
             };
         }
         for (FairCounters &counters : this->fairness) {
-            for (const ModelTenant &tenant : given.tenants) {
-                counters.setWeight(TenantId{tenant.name}, tenant.weight);
+            for (const ModelCustomer &customer : given.customers) {
+                counters.setWeight(CustomerId{customer.name}, customer.weight);
             }
         }
     }
@@ -240,7 +240,8 @@
         const double uncached = std::max(0.0, call.promptTokens - estimates[chosen].cachedTokens);
         WaitingCall waiting;
         waiting.id = call.id;
-        waiting.tenant = TenantId{this->mix.tenants[static_cast<std::size_t>(this->shapeOf(call.program).tenant)].name};
+        waiting.customer =
+            CustomerId{this->mix.customers[static_cast<std::size_t>(this->shapeOf(call.program).customer)].name};
         waiting.attainedTokens = this->stateOf(this->rootOf(call.program)).attained;
         waiting.expectedTokens = uncached * PrefillCost + this->meanOutput;
         waiting.arrived = Instant(static_cast<std::int64_t>(this->now * 1e6));
@@ -322,11 +323,11 @@
         this->flights.erase(call.id);
         this->hosts[host].queue.remove(call.id, this->countersOf(host));
         const double service = flight.uncached * PrefillCost + call.outputTokens;
-        const int tenant = this->shapeOf(call.program).tenant;
-        this->countersOf(host).charge(
-            TenantId{this->mix.tenants[static_cast<std::size_t>(tenant)].name}, call.outputTokens - this->meanOutput);
+        const int customer = this->shapeOf(call.program).customer;
+        this->countersOf(host).charge(CustomerId{this->mix.customers[static_cast<std::size_t>(customer)].name},
+            call.outputTokens - this->meanOutput);
         this->meanOutput += (call.outputTokens - this->meanOutput) * 0.01;
-        this->served[static_cast<std::size_t>(tenant)] += service;
+        this->served[static_cast<std::size_t>(customer)] += service;
         this->stateOf(this->rootOf(call.program)).attained += service;
         ProgramState &state = this->stateOf(call.program);
         state.history = call.promptTokens + call.outputTokens;
@@ -403,7 +404,7 @@
             this->resume(parent);
             return;
         }
-        this->latencies.emplace_back(this->now - state.begun, this->shapeOf(program).tenant);
+        this->latencies.emplace_back(this->now - state.begun, this->shapeOf(program).customer);
     }
 
     void evicted(std::size_t host, int program)
@@ -450,26 +451,27 @@
     {
         std::vector<double> demand = this->served;
         for (const auto &[id, flight] : this->flights) {
-            demand[static_cast<std::size_t>(this->shapeOf(flight.call.program).tenant)] +=
+            demand[static_cast<std::size_t>(this->shapeOf(flight.call.program).customer)] +=
                 flight.call.outputTokens + flight.uncached * PrefillCost;
         }
         this->measures.worstShareOfAllDemand = this->worstShareOf(demand);
         for (const Host &host : this->hosts) {
             for (const EngineCall &call : host.engine.running) {
                 const double done = std::max(0.0, call.outputTokens - call.decodeLeft);
-                this->served[static_cast<std::size_t>(this->shapeOf(call.program).tenant)] += done;
+                this->served[static_cast<std::size_t>(this->shapeOf(call.program).customer)] += done;
             }
         }
         demand = this->served;
         for (const auto &[id, flight] : this->flights) {
             if (!this->hosts[flight.host].queue.isRunning(id)) {
-                demand[static_cast<std::size_t>(this->shapeOf(flight.call.program).tenant)] += flight.call.outputTokens;
+                demand[static_cast<std::size_t>(this->shapeOf(flight.call.program).customer)] +=
+                    flight.call.outputTokens;
             }
         }
         this->measures.worstShare = this->worstShareOf(demand);
     }
 
-    /** Least of served over fair share by weighted max-min of what was served in all, bounded by each tenant's
+    /** Least of served over fair share by weighted max-min of what was served in all, bounded by each customer's
      * @p demand. */
     [[nodiscard]] double worstShareOf(const std::vector<double> &demand) const
     {
@@ -479,16 +481,16 @@
         for (std::size_t round = 0; round < demand.size(); ++round) {
             double weights = 0;
             for (std::size_t i = 0; i < demand.size(); ++i) {
-                weights += met[i] ? 0 : this->mix.tenants[i].weight;
+                weights += met[i] ? 0 : this->mix.customers[i].weight;
             }
             const double perWeight = weights > 0 ? left / weights : 0;
             for (std::size_t i = 0; i < demand.size(); ++i) {
-                if (!met[i] && demand[i] <= perWeight * this->mix.tenants[i].weight) {
+                if (!met[i] && demand[i] <= perWeight * this->mix.customers[i].weight) {
                     met[i] = true;
                     fair[i] = demand[i];
                     left -= demand[i];
                 } else if (!met[i]) {
-                    fair[i] = perWeight * this->mix.tenants[i].weight;
+                    fair[i] = perWeight * this->mix.customers[i].weight;
                 }
             }
         }
@@ -548,17 +550,17 @@
     void finishMeasures()
     {
         std::sort(this->latencies.begin(), this->latencies.end());
-        std::vector<double> sums(this->mix.tenants.size(), 0);
-        std::vector<double> counts(this->mix.tenants.size(), 0);
-        for (const auto &[latency, tenant] : this->latencies) {
+        std::vector<double> sums(this->mix.customers.size(), 0);
+        std::vector<double> counts(this->mix.customers.size(), 0);
+        for (const auto &[latency, customer] : this->latencies) {
             this->measures.meanLatency += latency / static_cast<double>(this->latencies.size());
-            sums[static_cast<std::size_t>(tenant)] += latency;
-            ++counts[static_cast<std::size_t>(tenant)];
+            sums[static_cast<std::size_t>(customer)] += latency;
+            ++counts[static_cast<std::size_t>(customer)];
         }
         this->measures.p95Latency = this->latencies[this->latencies.size() * 95 / 100].first;
         for (std::size_t i = 0; i < sums.size(); ++i) {
-            const ModelTenant &tenant = this->mix.tenants[i];
-            if (tenant.arrivalShare <= tenant.weight && counts[i] > 0) {
+            const ModelCustomer &customer = this->mix.customers[i];
+            if (customer.arrivalShare <= customer.weight && counts[i] > 0) {
                 this->measures.worstLatency = std::max(this->measures.worstLatency, sums[i] / counts[i]);
             }
         }
@@ -585,14 +587,14 @@
     Keep keep; ///< Of pausing programs' cache.
     std::vector<ProgramState> programs; ///< By index in the mix.
     std::vector<FairCounters> fairness; ///< By dispatcher.
-    std::vector<double> served; ///< Tokens by tenant.
+    std::vector<double> served; ///< Tokens by customer.
     std::deque<Host> hosts; ///< Engines with their queues.
     PrefixIndex index; ///< What the entries believe.
     std::array<PauseStatistics, 2> pauses; ///< By service.
     std::priority_queue<Event> events; ///< What happens next.
     std::map<std::uint64_t, Flight> flights; ///< Calls that wait or run.
     std::deque<SentCall> sent; ///< Lately, for corrected reports.
-    std::vector<std::pair<double, int>> latencies; ///< Of ended programs, with the tenant.
+    std::vector<std::pair<double, int>> latencies; ///< Of ended programs, with the customer.
     Measures measures; ///< So far.
     double now = 0; ///< In seconds.
     double meanOutput = 120; ///< Of all answers so far, faded.
--- a/bench/model/program_mix.h
+++ b/bench/model/program_mix.h
@@ -1,5 +1,5 @@
 /** @file program_mix.h  Programs of both deployments, made from a seed: long sessions with helper sub-agents, order
- * desks with tool calls, one tenant at five times its rate. */
+ * desks with tool calls, one customer at five times its rate. */
 #pragma once
 
 #include <cmath>
@@ -25,12 +25,12 @@
 struct ModelProgram
 {
     double arrival = 0; ///< In seconds; below zero for a helper, which its parent starts.
-    int tenant = 0; ///< Index into the mix's tenants.
+    int customer = 0; ///< Index into the mix's customers.
     int parent = -1; ///< For a helper.
     std::vector<Turn> turns; ///< One after the other.
 };
 
-struct ModelTenant
+struct ModelCustomer
 {
     std::string name; ///< As in deploy/.
     double weight = 1; ///< Declared share.
@@ -40,7 +40,7 @@
 struct Mix
 {
     std::string name; ///< kortagatt, derwent or fault.
-    std::vector<ModelTenant> tenants; ///< With their shares.
+    std::vector<ModelCustomer> customers; ///< With their shares.
     std::vector<ModelProgram> programs; ///< Helpers come after their parents.
     double burstBegin = 0; ///< In seconds; then the arrivals are twice the capacity.
     double burstEnd = 0; ///< In seconds; the arrivals end at Horizon.
@@ -92,12 +92,12 @@
 }
 
 inline Mix makeMix(
-    const std::string &name, const std::vector<ModelTenant> &tenants, const MixShape &shape, std::uint64_t random)
+    const std::string &name, const std::vector<ModelCustomer> &customers, const MixShape &shape, std::uint64_t random)
 {
-    Mix mix{name, tenants, {}, 90, 180};
+    Mix mix{name, customers, {}, 90, 180};
     double shares = 0;
-    for (const ModelTenant &tenant : tenants) {
-        shares += tenant.arrivalShare;
+    for (const ModelCustomer &customer : customers) {
+        shares += customer.arrivalShare;
     }
     double now = 0;
     while (true) {
@@ -109,8 +109,8 @@
         ModelProgram program = makeProgram(random, shape, false);
         program.arrival = now;
         double pick = nextUnit(random) * shares;
-        while (pick >= tenants[static_cast<std::size_t>(program.tenant)].arrivalShare) {
-            pick -= tenants[static_cast<std::size_t>(program.tenant++)].arrivalShare;
+        while (pick >= customers[static_cast<std::size_t>(program.customer)].arrivalShare) {
+            pick -= customers[static_cast<std::size_t>(program.customer++)].arrivalShare;
         }
         const int parent = static_cast<int>(mix.programs.size());
         std::vector<ModelProgram> helpers;
@@ -120,7 +120,7 @@
                 helpers.push_back(makeProgram(random, shape, true));
                 helpers.back().arrival = -1;
                 helpers.back().parent = parent;
-                helpers.back().tenant = program.tenant;
+                helpers.back().customer = program.customer;
             }
         }
         mix.programs.push_back(std::move(program));
--- a/src/admission/bucket_owner_base.cpp
+++ b/src/admission/bucket_owner_base.cpp
@@ -1,4 +1,4 @@
-/** @file bucket_owner_base.cpp  Granting at the owner of a tenant's slot. */
+/** @file bucket_owner_base.cpp  Granting at the owner of a customer's slot. */
 #include "admission/bucket_owner_base.h"
 
 #include <algorithm>
@@ -13,30 +13,30 @@
     this->tenures.update(facts, now);
 }
 
-TokenBucket &BucketOwner::bucketOf(const TenantDeclaration &tenant, SlotId slot, Instant now)
+TokenBucket &BucketOwner::bucketOf(const CustomerDeclaration &customer, SlotId slot, Instant now)
 {
     const SlotTenure &tenure = this->tenures.at(slot);
-    auto found = this->buckets.find(tenant.id);
+    auto found = this->buckets.find(customer.id);
     if (found == this->buckets.end() || found->second.epoch != tenure.epoch) {
         const Instant begin = tenure.grantsFrom.value_or(now);
         OwnedBucket owned{tenure.epoch, TokenBucket(begin)};
-        owned.bucket.declare(tenant.ratePerSecond, tenant.burst, begin);
+        owned.bucket.declare(customer.ratePerSecond, customer.burst, begin);
         if (tenure.start == TenureStart::Full) {
             owned.bucket.fill();
         }
-        const auto level = this->adopted.find(tenant.id);
+        const auto level = this->adopted.find(customer.id);
         if (level != this->adopted.end() && level->second.first == tenure.epoch) {
             owned.bucket.adopt(level->second.second, begin);
         }
-        found = this->buckets.insert_or_assign(tenant.id, owned).first;
+        found = this->buckets.insert_or_assign(customer.id, owned).first;
     }
-    found->second.bucket.declare(tenant.ratePerSecond, tenant.burst, now);
+    found->second.bucket.declare(customer.ratePerSecond, customer.burst, now);
     return found->second.bucket;
 }
 
-AdmitVerdict BucketOwner::admit(const TenantDeclaration &tenant, std::uint32_t count, Instant now, Instant leaseEnd)
+AdmitVerdict BucketOwner::admit(const CustomerDeclaration &customer, std::uint32_t count, Instant now, Instant leaseEnd)
 {
-    const SlotId slot = slotOf(tenant.id.text);
+    const SlotId slot = slotOf(customer.id.text);
     AdmitVerdict verdict;
     const std::optional<Duration> startsIn = this->tenures.startsIn(slot, now);
     if (!startsIn) {
@@ -48,7 +48,7 @@
         verdict.retryAfter = *startsIn;
         return verdict;
     }
-    TokenBucket &bucket = this->bucketOf(tenant, slot, now);
+    TokenBucket &bucket = this->bucketOf(customer, slot, now);
     const Duration maxDelay = std::min(RateHoldBound, leaseEnd - now);
     while (verdict.delays.size() < count) {
         const std::optional<Duration> delay = bucket.reserve(now, maxDelay);
@@ -64,21 +64,21 @@
 }
 
 std::optional<std::vector<BucketLevel>> BucketOwner::giveUp(
-    SlotId slot, Epoch epoch, const std::vector<TenantDeclaration> &tenantsOfSlot, Instant now)
+    SlotId slot, Epoch epoch, const std::vector<CustomerDeclaration> &customersOfSlot, Instant now)
 {
     const bool present = this->tenures.at(slot).epoch == epoch;
     if (!this->tenures.giveUp(slot, epoch, now)) {
         return std::nullopt;
     }
     std::vector<BucketLevel> levels;
-    for (const TenantDeclaration &tenant : tenantsOfSlot) {
-        const auto found = this->buckets.find(tenant.id);
+    for (const CustomerDeclaration &customer : customersOfSlot) {
+        const auto found = this->buckets.find(customer.id);
         if (found != this->buckets.end() && found->second.epoch == epoch) {
-            levels.push_back({tenant.id, found->second.bucket.levelAt(now)});
+            levels.push_back({customer.id, found->second.bucket.levelAt(now)});
         } else if (present) {
-            levels.push_back({tenant.id, this->bucketOf(tenant, slot, now).levelAt(now)});
+            levels.push_back({customer.id, this->bucketOf(customer, slot, now).levelAt(now)});
         } else {
-            levels.push_back({tenant.id, 0});
+            levels.push_back({customer.id, 0});
         }
     }
     return levels;
@@ -90,7 +90,7 @@
         return;
     }
     for (const BucketLevel &level : levels) {
-        this->adopted[level.tenant] = {handover.epoch, level.level};
+        this->adopted[level.customer] = {handover.epoch, level.level};
     }
 }
 
--- a/src/admission/bucket_owner_base.h
+++ b/src/admission/bucket_owner_base.h
@@ -1,4 +1,4 @@
-/** @file bucket_owner_base.h  The buckets of the tenants whose slots this entry owns. Pure: no I/O, no clock. */
+/** @file bucket_owner_base.h  The buckets of the customers whose slots this entry owns. Pure: no I/O, no clock. */
 #pragma once
 
 #include <cstdint>
@@ -23,11 +23,11 @@
 
 enum class AdmitState : std::uint8_t {
     Decided, ///< Each request was granted or is over the rate.
-    NotOwner, ///< Another entry owns the tenant's slot.
+    NotOwner, ///< Another entry owns the customer's slot.
     NotYet, ///< This entry may not grant for now; ask again.
 };
 
-/** The answer to a batch of requests of one tenant. */
+/** The answer to a batch of requests of one customer. */
 struct AdmitVerdict
 {
     AdmitState state = AdmitState::Decided; ///< Whether the rest counts.
@@ -39,26 +39,26 @@
 /** What one bucket held when its owner stopped. */
 struct BucketLevel
 {
-    TenantId tenant; ///< Whose it is.
+    CustomerId customer; ///< Whose it is.
     double level = 0; ///< Below zero where requests are reserved ahead.
 };
 
 class BucketOwner
 {
 public:
-    /** Finds the declaration of a tenant; null where it is not declared. */
-    using TenantLookup = std::function<const TenantDeclaration *(const TenantId &)>;
+    /** Finds the declaration of a customer; null where it is not declared. */
+    using CustomerLookup = std::function<const CustomerDeclaration *(const CustomerId &)>;
 
     /** Takes in a newer view. */
     void update(const SlotFacts &facts, Instant now);
 
-    /** Decides on @p count requests of @p tenant. @p leaseEnd is until when this entry's view may be relied on: nothing
-     * is granted that falls due later. */
-    AdmitVerdict admit(const TenantDeclaration &tenant, std::uint32_t count, Instant now, Instant leaseEnd);
+    /** Decides on @p count requests of @p customer. @p leaseEnd is until when this entry's view may be relied on:
+     * nothing is granted that falls due later. */
+    AdmitVerdict admit(const CustomerDeclaration &customer, std::uint32_t count, Instant now, Instant leaseEnd);
 
     /** Stops for @p slot and tells what the buckets hold. Nothing where the successor has to wait. */
     std::optional<std::vector<BucketLevel>> giveUp(
-        SlotId slot, Epoch epoch, const std::vector<TenantDeclaration> &tenantsOfSlot, Instant now);
+        SlotId slot, Epoch epoch, const std::vector<CustomerDeclaration> &customersOfSlot, Instant now);
 
     /** Begins with what the former owner's buckets held. */
     void adopt(const WantedHandover &handover, const std::vector<BucketLevel> &levels, Instant now);
@@ -66,16 +66,16 @@
     SlotTenures tenures; ///< Which slots this entry owns, and from when.
 
 private:
-    TokenBucket &bucketOf(const TenantDeclaration &tenant, SlotId slot, Instant now);
+    TokenBucket &bucketOf(const CustomerDeclaration &customer, SlotId slot, Instant now);
 
     /** A bucket and the tenure that it belongs to. */
     struct OwnedBucket
     {
         Epoch epoch; ///< Of the slot when the bucket was made; a bucket is never used under another.
-        TokenBucket bucket; ///< Of one tenant.
+        TokenBucket bucket; ///< Of one customer.
     };
-    std::map<TenantId, OwnedBucket> buckets; ///< Made on first use.
-    std::map<TenantId, std::pair<Epoch, double>> adopted; ///< Levels taken over, until the bucket is made.
+    std::map<CustomerId, OwnedBucket> buckets; ///< Made on first use.
+    std::map<CustomerId, std::pair<Epoch, double>> adopted; ///< Levels taken over, until the bucket is made.
 };
 
 } // namespace Chestnuthook
--- a/src/admission/token_bucket_type.h
+++ b/src/admission/token_bucket_type.h
@@ -1,4 +1,4 @@
-/** @file token_bucket_type.h  A tenant's rate and burst as one bucket, in which requests may be reserved ahead. */
+/** @file token_bucket_type.h  A customer's rate and burst as one bucket, in which requests may be reserved ahead. */
 #pragma once
 
 #include <algorithm>
@@ -33,7 +33,7 @@
         this->level = std::min(this->level, this->capacity);
     }
 
-    /** Fills it; only where no other bucket of this tenant was ever in use. */
+    /** Fills it; only where no other bucket of this customer was ever in use. */
     void fill()
     {
         this->level = this->capacity;
--- a/src/core/error_type.h
+++ b/src/core/error_type.h
@@ -21,11 +21,11 @@
     BadRequest, ///< A request is malformed.
     BodyTooLarge, ///< A request body is over its bound.
     UnknownKey, ///< The key is unknown or withdrawn.
-    ForeignProgram, ///< The program belongs to another tenant.
+    ForeignProgram, ///< The program belongs to another customer.
     NotFound, ///< No such program, call, model, service or route.
     Conflict, ///< The call number or request id was used with other content, or is out of order.
     StaleRevision, ///< The expected revision isn't the current one.
-    RateExceeded, ///< The tenant is over its rate and burst.
+    RateExceeded, ///< The customer is over its rate and burst.
     BudgetSpent, ///< The program's budget is used up.
     ProgramEnded, ///< The program has ended.
     NotReady, ///< This instance can't admit now; another may.
--- a/src/core/id_type.h
+++ b/src/core/id_type.h
@@ -43,7 +43,7 @@
     auto operator<=>(const NumberId &) const = default;
 };
 
-using TenantId = TextId<struct TenantTag>; ///< A customer of the operator.
+using CustomerId = TextId<struct CustomerTag>; ///< A customer of the operator.
 using KeyId = TextId<struct KeyTag>; ///< Names a caller's key; not the key itself.
 using EntryId = TextId<struct EntryTag>; ///< One entry instance's process identity.
 using EndpointId = TextId<struct EndpointTag>; ///< A back end: engine replica or service replica, `ip:port`.
--- a/src/ctl/ctl_keys_func.cpp
+++ b/src/ctl/ctl_keys_func.cpp
@@ -88,13 +88,13 @@
     Poco::JSON::Array list;
     for (const auto &[id, row] : state->keys.all()) {
         const std::string keyState = row.record.withdrawn ? "withdrawn" : "active";
-        rows.push_back({id.text, row.record.tenant.text, keyState});
+        rows.push_back({id.text, row.record.customer.text, keyState});
         if (!row.record.note.empty()) {
             rows.back().push_back(row.record.note);
         }
         Poco::JSON::Object object(Poco::JSON_PRESERVE_KEY_ORDER);
         object.set("id", id.text);
-        object.set("tenant", row.record.tenant.text);
+        object.set("tenant", row.record.customer.text);
         object.set("state", keyState);
         object.set("note", row.record.note);
         list.add(object);
--- a/src/ctl/ctl_programs_func.cpp
+++ b/src/ctl/ctl_programs_func.cpp
@@ -13,7 +13,7 @@
 {
     Poco::JSON::Object object(Poco::JSON_PRESERVE_KEY_ORDER);
     object.set("id", program.id.text);
-    object.set("tenant", program.tenant.text);
+    object.set("tenant", program.customer.text);
     object.set("parent", program.parent.text);
     object.set("state", program.endedMs == 0 ? "open" : "ended");
     object.set("calls", program.calls.size());
@@ -24,7 +24,7 @@
 
 Words programRow(const ProgramRecord &program)
 {
-    return {program.id.text, program.tenant.text, program.endedMs == 0 ? "open" : "ended",
+    return {program.id.text, program.customer.text, program.endedMs == 0 ? "open" : "ended",
         std::to_string(program.calls.size()),
         std::to_string(program.spent.tokens) + "/" + std::to_string(program.budget.tokens),
         program.parent.empty() ? "-" : program.parent.text};
@@ -43,7 +43,7 @@
             return complain(options, programs.error());
         }
         for (const ProgramRecord &program : *programs) {
-            if ((words.empty() || program.tenant.text == words[0]) && found < options.limit) {
+            if ((words.empty() || program.customer.text == words[0]) && found < options.limit) {
                 ++found;
                 rows.push_back(programRow(program));
                 list.add(programJson(program));
--- a/src/ctl/ctl_verb_func.h
+++ b/src/ctl/ctl_verb_func.h
@@ -17,14 +17,14 @@
 [[nodiscard]] CtlExit ctlDiff(CtlSession &session, const CtlOptions &options, const Words &files);
 /** Makes the fleet's declarations those of the files and waits until they are in force on all entries. */
 [[nodiscard]] CtlExit ctlApply(CtlSession &session, const CtlOptions &options, const Words &files);
-/** Makes a key for a tenant; it is printed here and kept nowhere. */
+/** Makes a key for a customer; it is printed here and kept nowhere. */
 [[nodiscard]] CtlExit ctlIssueKey(CtlSession &session, const CtlOptions &options, const Words &words);
 /** Withdraws a key for good. */
 [[nodiscard]] CtlExit ctlWithdrawKey(CtlSession &session, const CtlOptions &options, const Words &words);
 [[nodiscard]] CtlExit ctlListKeys(CtlSession &session, const CtlOptions &options, const Words &words);
 /** Members, entries with leases and slots, revisions and freshness. */
 [[nodiscard]] CtlExit ctlStatus(CtlSession &session, const CtlOptions &options, const Words &words);
-/** Lists programs, of one tenant where it is given. */
+/** Lists programs, of one customer where it is given. */
 [[nodiscard]] CtlExit ctlPrograms(CtlSession &session, const CtlOptions &options, const Words &words);
 /** Has an entry hand over its slots, finish its calls and end. */
 [[nodiscard]] CtlExit ctlDrain(CtlSession &session, const CtlOptions &options, const Words &words);
--- a/src/entry/admission_client_base.cpp
+++ b/src/entry/admission_client_base.cpp
@@ -1,4 +1,4 @@
-/** @file admission_client_base.cpp  Asking and answering for tenants' buckets between entries. */
+/** @file admission_client_base.cpp  Asking and answering for customers' buckets between entries. */
 #include "entry/admission_client_base.h"
 
 #include <algorithm>
@@ -64,26 +64,26 @@
     this->requestHandovers();
 }
 
-AdmitVerdict AdmissionClient::decide(const TenantId &tenant, std::uint32_t count)
+AdmitVerdict AdmissionClient::decide(const CustomerId &customer, std::uint32_t count)
 {
     const auto view = this->follower.views.get();
     if (view == nullptr) {
         return unreachable();
     }
-    const auto declared = view->tenants.find(tenant);
-    if (declared == view->tenants.end()) {
+    const auto declared = view->customers.find(customer);
+    if (declared == view->customers.end()) {
         return unreachable();
     }
     const Instant now = this->loop.timers().now();
     return this->owner.admit(declared->second, count, now, this->follower.views.relyUntil());
 }
 
-kj::Promise<AdmitVerdict> AdmissionClient::ask(const TenantId &tenant)
+kj::Promise<AdmitVerdict> AdmissionClient::ask(const CustomerId &customer)
 {
     const auto view = this->follower.views.get();
-    const EntryId slotOwner = view == nullptr ? EntryId{} : view->slots[slotOf(tenant.text).value].owner;
+    const EntryId slotOwner = view == nullptr ? EntryId{} : view->slots[slotOf(customer.text).value].owner;
     if (slotOwner == this->follower.self.id) {
-        return this->decide(tenant, 1);
+        return this->decide(customer, 1);
     }
     const std::string address = this->addressOf(slotOwner);
     if (address.empty()) {
@@ -91,7 +91,7 @@
     }
     auto paf = kj::newPromiseAndFulfiller<AdmitVerdict>();
     Batch &batch = this->batches[address];
-    batch.waiting.push_back({tenant, kj::mv(paf.fulfiller)});
+    batch.waiting.push_back({customer, kj::mv(paf.fulfiller)});
     if (!batch.busy) {
         batch.busy = true;
         // Later in this turn, so that requests which came in together go together.
@@ -113,12 +113,12 @@
     batch.waiting.clear();
     auto rows = std::make_shared<std::vector<unsigned>>();
     auto asked = this->peers.peer(address).then([waiters, rows](Wire::EntryPeer::Client &&peer) {
-        std::map<TenantId, unsigned> rowOf;
-        std::vector<std::pair<TenantId, std::uint32_t>> wanted;
+        std::map<CustomerId, unsigned> rowOf;
+        std::vector<std::pair<CustomerId, std::uint32_t>> wanted;
         for (const Waiter &waiter : *waiters) {
-            const auto [row, added] = rowOf.try_emplace(waiter.tenant, static_cast<unsigned>(wanted.size()));
+            const auto [row, added] = rowOf.try_emplace(waiter.customer, static_cast<unsigned>(wanted.size()));
             if (added) {
-                wanted.emplace_back(waiter.tenant, 0);
+                wanted.emplace_back(waiter.customer, 0);
             }
             ++wanted[row->second].second;
             rows->push_back(row->second);
@@ -210,7 +210,7 @@
                     }
                     std::vector<BucketLevel> levels;
                     for (const auto level : slots[i].getLevels()) {
-                        levels.push_back({TenantId{textOf(level.getTenant())}, level.getLevel()});
+                        levels.push_back({CustomerId{textOf(level.getTenant())}, level.getLevel()});
                     }
                     this->owner.adopt(wanted[i], levels, this->loop.timers().now());
                 }
@@ -224,10 +224,10 @@
     capnp::List<Wire::GivenUpSlot>::Reader slots, capnp::List<Wire::GivenUpSlot>::Builder replies)
 {
     const auto view = this->follower.views.get();
-    std::map<SlotId, std::vector<TenantDeclaration>> tenants;
+    std::map<SlotId, std::vector<CustomerDeclaration>> customers;
     if (view != nullptr) {
-        for (const auto &[id, tenant] : view->tenants) {
-            tenants[slotOf(id.text)].push_back(tenant);
+        for (const auto &[id, customer] : view->customers) {
+            customers[slotOf(id.text)].push_back(customer);
         }
     }
     for (unsigned i = 0; i < slots.size(); ++i) {
@@ -238,12 +238,12 @@
         if (slot.value >= SlotCount || view == nullptr) {
             continue;
         }
-        const auto levels = this->owner.giveUp(slot, epoch, tenants[slot], this->loop.timers().now());
+        const auto levels = this->owner.giveUp(slot, epoch, customers[slot], this->loop.timers().now());
         replies[i].setStopped(levels.has_value());
         if (levels) {
             auto list = replies[i].initLevels(static_cast<unsigned>(levels->size()));
             for (unsigned j = 0; j < list.size(); ++j) {
-                list[j].setTenant((*levels)[j].tenant.text);
+                list[j].setTenant((*levels)[j].customer.text);
                 list[j].setLevel((*levels)[j].level);
             }
         }
--- a/src/entry/admission_client_base.h
+++ b/src/entry/admission_client_base.h
@@ -1,5 +1,5 @@
-/** @file admission_client_base.h  Admission on the control thread: decides for the tenants whose slots this entry owns,
- * asks the owners of the others in batches, and takes buckets over when slots move. */
+/** @file admission_client_base.h  Admission on the control thread: decides for the customers whose slots this entry
+ * owns, asks the owners of the others in batches, and takes buckets over when slots move. */
 #pragma once
 
 #include <map>
@@ -20,12 +20,12 @@
 public:
     AdmissionClient(ControlLoop &loop, FleetFollower &follower, PeerLinks &peers);
 
-    /** Asks the owner of @p tenant's slot for one request. NotOwner means that there is none, or that it can't be
+    /** Asks the owner of @p customer's slot for one request. NotOwner means that there is none, or that it can't be
      * reached. */
-    [[nodiscard]] kj::Promise<AdmitVerdict> ask(const TenantId &tenant);
+    [[nodiscard]] kj::Promise<AdmitVerdict> ask(const CustomerId &customer);
 
-    /** Decides as the owner of @p tenant's slot. */
-    [[nodiscard]] AdmitVerdict decide(const TenantId &tenant, std::uint32_t count);
+    /** Decides as the owner of @p customer's slot. */
+    [[nodiscard]] AdmitVerdict decide(const CustomerId &customer, std::uint32_t count);
 
     /** Stops for slots that another entry has gained, and tells what their buckets hold. */
     void giveUp(capnp::List<Wire::GivenUpSlot>::Reader slots, capnp::List<Wire::GivenUpSlot>::Builder replies);
@@ -36,7 +36,7 @@
 private:
     struct Waiter
     {
-        TenantId tenant; ///< Whose request it is.
+        CustomerId customer; ///< Whose request it is.
         kj::Own<kj::PromiseFulfiller<AdmitVerdict>> fulfiller; ///< Gets the verdict.
     };
     struct Batch
--- a/src/entry/admission_gate_base.cpp
+++ b/src/entry/admission_gate_base.cpp
@@ -1,4 +1,4 @@
-/** @file admission_gate_base.cpp  Admission of requests by tenant. */
+/** @file admission_gate_base.cpp  Admission of requests by customer. */
 #include "entry/admission_gate_base.h"
 
 #include <algorithm>
@@ -58,14 +58,14 @@
 
 Result<void> AdmissionGate::admit(const Caller &caller)
 {
-    if (!this->follower.views.get()->tenants.contains(caller.tenant)) {
+    if (!this->follower.views.get()->customers.contains(caller.customer)) {
         return fail(ErrorKind::UnknownKey, "the tenant is not declared");
     }
     const Instant begin = this->loop.timers().now();
     for (;;) {
         const Instant askedAt = this->loop.timers().now();
         const AdmitVerdict verdict = this->loop.call([&]() {
-            return this->client.ask(caller.tenant);
+            return this->client.ask(caller.customer);
         });
         const bool granted = verdict.state == AdmitState::Decided && !verdict.delays.empty();
         if (granted) {
@@ -75,7 +75,7 @@
             Result<void> held = this->hold(caller, delay, askedAt + delay + GrantLife, late);
             if (!held || !late) {
                 metrics().record(MetricKind::AdmissionHoldMs,
-                    static_cast<double>((this->loop.timers().now() - begin).count()) / 1e3, caller.tenant.text);
+                    static_cast<double>((this->loop.timers().now() - begin).count()) / 1e3, caller.customer.text);
                 return held;
             }
         }
@@ -84,7 +84,7 @@
         const Duration waited = this->loop.timers().now() + pause - begin;
         if (overRate && (!verdict.recovering || waited > OwnerWaitBound)) {
             return tl::unexpected(
-                Error{ErrorKind::RateExceeded, caller.tenant.text, Ran::No, millisecondsOf(verdict.retryAfter)});
+                Error{ErrorKind::RateExceeded, caller.customer.text, Ran::No, millisecondsOf(verdict.retryAfter)});
         }
         if (waited > OwnerWaitBound || !this->follower.isFresh()) {
             return tl::unexpected(Error{ErrorKind::NotReady, "the tenant's bucket has no owner that can be reached",
--- a/src/entry/admission_gate_base.h
+++ b/src/entry/admission_gate_base.h
@@ -1,4 +1,4 @@
-/** @file admission_gate_base.h  Counts each request against its tenant's rate and burst. */
+/** @file admission_gate_base.h  Counts each request against its customer's rate and burst. */
 #pragma once
 
 #include "core/error_type.h"
@@ -7,13 +7,13 @@
 namespace Chestnuthook
 {
 
-/** The way of traffic threads to the tenants' buckets, which are fleet-wide. */
+/** The way of traffic threads to the customers' buckets, which are fleet-wide. */
 class AdmissionGate
 {
 public:
     AdmissionGate(ControlLoop &loop, FleetFollower &follower, PeerLinks &peers);
 
-    /** Takes one request out of the tenant's bucket, and holds it for a bounded time until it is inside the rate. For
+    /** Takes one request out of the customer's bucket, and holds it for a bounded time until it is inside the rate. For
      * traffic threads. Errors, all at once when it is given up: RateExceeded and NotReady, with when to come back;
      * UnknownKey where the key was withdrawn meanwhile. */
     Result<void> admit(const Caller &caller);
--- a/src/entry/call_runner_base.cpp
+++ b/src/entry/call_runner_base.cpp
@@ -22,18 +22,18 @@
 
 } // namespace
 
-CallRunner::CallRunner(EntryContext &context, AnswerWriter &answer, ProgramId program, TenantId tenant)
+CallRunner::CallRunner(EntryContext &context, AnswerWriter &answer, ProgramId program, CustomerId customer)
     : context(context)
     , answer(answer)
     , program(std::move(program))
-    , tenant(std::move(tenant))
+    , customer(std::move(customer))
 {
 }
 
 Result<void> CallRunner::run(CallNumber number, const CallRequest &request)
 {
     const Result<CallStart> start = this->context.loop.call([&]() {
-        return this->context.programs.beginCall(this->program, number, this->tenant, request);
+        return this->context.programs.beginCall(this->program, number, this->customer, request);
     });
     if (!start) {
         return tl::unexpected(start.error());
@@ -66,8 +66,8 @@
 Result<void> CallRunner::startWorker(const CallRequest &request, const CallStart &start)
 {
     Result<void> started = this->context.workers.run(
-        [&context = this->context, program = this->program, tenant = this->tenant, request, start]() {
-            CallWorker(context, program, tenant, request, start).run();
+        [&context = this->context, program = this->program, customer = this->customer, request, start]() {
+            CallWorker(context, program, customer, request, start).run();
         });
     if (started) {
         return started;
--- a/src/entry/call_runner_base.h
+++ b/src/entry/call_runner_base.h
@@ -15,7 +15,7 @@
 class CallRunner
 {
 public:
-    CallRunner(EntryContext &context, AnswerWriter &answer, ProgramId program, TenantId tenant);
+    CallRunner(EntryContext &context, AnswerWriter &answer, ProgramId program, CustomerId customer);
 
     /** Begins or joins the call and passes its answer on. Errors: those of the call, where nothing was written yet. */
     Result<void> run(CallNumber number, const CallRequest &request);
@@ -32,7 +32,7 @@
     EntryContext &context; ///< Of the entry.
     AnswerWriter &answer; ///< To the caller.
     ProgramId program; ///< Whose call it is; empty for none.
-    TenantId tenant; ///< For whom it runs.
+    CustomerId customer; ///< For whom it runs.
 };
 
 } // namespace Chestnuthook
--- a/src/entry/call_worker_base.cpp
+++ b/src/entry/call_worker_base.cpp
@@ -68,10 +68,11 @@
     return body;
 }
 
-CallWorker::CallWorker(EntryContext &context, ProgramId program, TenantId tenant, CallRequest request, CallStart given)
+CallWorker::CallWorker(
+    EntryContext &context, ProgramId program, CustomerId customer, CallRequest request, CallStart given)
     : context(context)
     , program(std::move(program))
-    , tenant(std::move(tenant))
+    , customer(std::move(customer))
     , request(std::move(request))
     , start(std::move(given))
     , call(this->start.call)
@@ -81,11 +82,11 @@
     this->demand.kind = model ? EndpointKind::Engine : EndpointKind::Service;
     this->demand.name = model ? this->request.model.text : this->request.service.text;
     this->demand.program = this->program;
-    this->demand.tenant = this->tenant;
+    this->demand.customer = this->customer;
     this->demand.maxTokens = this->start.maxTokens;
     this->demand.promptTokens = this->start.promptBound;
     this->demand.attainedTokens = this->start.attainedTokens;
-    this->demand.fingerprint = fingerprintOf(this->tenant, this->request);
+    this->demand.fingerprint = fingerprintOf(this->customer, this->request);
 }
 
 std::int64_t CallWorker::leftMs() const
--- a/src/entry/call_worker_base.h
+++ b/src/entry/call_worker_base.h
@@ -17,7 +17,7 @@
 {
 public:
     /** @param program empty for an idempotent request to a plain service, of which nothing is kept. */
-    CallWorker(EntryContext &context, ProgramId program, TenantId tenant, CallRequest request, CallStart start);
+    CallWorker(EntryContext &context, ProgramId program, CustomerId customer, CallRequest request, CallStart start);
 
     /** Runs the call and ends its stream. Does not throw. */
     void run();
@@ -42,7 +42,7 @@
 
     EntryContext &context; ///< Of the entry.
     ProgramId program; ///< Whose call it is; empty for none.
-    TenantId tenant; ///< For whom it runs.
+    CustomerId customer; ///< For whom it runs.
     CallRequest request; ///< What to run.
     CallStart start; ///< From the runtime.
     CallRecord call; ///< The result in the making; `answer` is the text so far.
--- a/src/entry/dispatch_demand_type.h
+++ b/src/entry/dispatch_demand_type.h
@@ -17,11 +17,11 @@
     EndpointKind kind = EndpointKind::Engine; ///< Engine or service.
     std::string name; ///< Model or service.
     ProgramId program; ///< Whose call it is; its earlier endpoints hold its cache.
-    TenantId tenant; ///< For fairness.
+    CustomerId customer; ///< For fairness.
     std::uint64_t promptTokens = 0; ///< Estimate, history included.
     std::uint32_t maxTokens = 0; ///< Bound of the answer.
     std::uint64_t attainedTokens = 0; ///< Service that the program has had; more goes first, see docs/POLICY.md.
-    std::string fingerprint; ///< Of tenant and content, for quarantine.
+    std::string fingerprint; ///< Of customer and content, for quarantine.
     std::vector<EndpointId> avoid; ///< Endpoints that failed this call before.
     std::int64_t deadlineMs = 0; ///< How long the attempt may wait for its turn, in milliseconds; 0 for the default.
     bool isolated = false; ///< Suspected of crashing endpoints: nothing else is in flight at its endpoint.
--- a/src/entry/entry_context_type.h
+++ b/src/entry/entry_context_type.h
@@ -40,7 +40,7 @@
     Quarantine &quarantine; ///< For the control thread only.
     Supervisor *root = nullptr; ///< For /readyz; control thread only.
     PeerLinks &peers; ///< Other entries; control thread only.
-    AdmissionGate admission; ///< Tenants' rates.
+    AdmissionGate admission; ///< Customers' rates.
     Dispatch dispatch; ///< Endpoints.
     AttemptDeadlines deadlines; ///< Ends attempts whose time has run out.
     WorkerPool workers; ///< Run calls.
--- a/src/entry/entry_peer_admit.cpp
+++ b/src/entry/entry_peer_admit.cpp
@@ -19,7 +19,7 @@
     auto replies = context.getResults().initReplies(requests.size());
     for (unsigned i = 0; i < requests.size(); ++i) {
         const AdmitVerdict verdict =
-            this->entry.admission.client.decide(TenantId{textOf(requests[i].getTenant())}, requests[i].getRequests());
+            this->entry.admission.client.decide(CustomerId{textOf(requests[i].getTenant())}, requests[i].getRequests());
         auto reply = replies[i];
         reply.setHoldMs(static_cast<std::uint32_t>((verdict.retryAfter.count() + 999) / 1000));
         reply.setRecovering(verdict.recovering);
--- a/src/entry/entry_peer_base.h
+++ b/src/entry/entry_peer_base.h
@@ -1,5 +1,5 @@
-/** @file entry_peer_base.h  What this entry offers the other entries: admission for tenants whose slot it owns, permits
- * for endpoints that it dispatches, and running of calls whose programs it owns. */
+/** @file entry_peer_base.h  What this entry offers the other entries: admission for customers whose slot it owns,
+ * permits for endpoints that it dispatches, and running of calls whose programs it owns. */
 #pragma once
 
 #include "entry/entry_context_type.h"
--- a/src/entry/fleet_follower_base.cpp
+++ b/src/entry/fleet_follower_base.cpp
@@ -17,8 +17,8 @@
 void takeDeclaration(FleetView &view, const DeclarationName &name, const std::string &json)
 {
     if (name.section == "tenants") {
-        if (const auto tenant = parseTenant(name.name, json)) {
-            view.tenants[tenant->id] = *tenant;
+        if (const auto customer = parseCustomer(name.name, json)) {
+            view.customers[customer->id] = *customer;
         }
     } else if (name.section == "models") {
         if (const auto model = parseModel(name.name, json)) {
@@ -49,7 +49,7 @@
 
 void dropDeclaration(FleetView &view, const DeclarationName &name)
 {
-    view.tenants.erase(name.section == "tenants" ? TenantId{name.name} : TenantId{});
+    view.customers.erase(name.section == "tenants" ? CustomerId{name.name} : CustomerId{});
     view.models.erase(name.section == "models" ? ModelId{name.name} : ModelId{});
     view.services.erase(name.section == "services" ? ServiceId{name.name} : ServiceId{});
     view.routes.erase(name.section == "routes" ? name.name : "");
@@ -57,12 +57,12 @@
     view.adapters.erase(name.section == "adapters" ? name.name : "");
 }
 
-/** A key is usable while it is not withdrawn and its tenant is declared. */
+/** A key is usable while it is not withdrawn and its customer is declared. */
 void takeKey(FleetView &view, const KeyId &id, const VersionedTable<KeyId, KeyRecord>::Row &row)
 {
-    const bool usable = !row.removed && !row.record.withdrawn && view.tenants.contains(row.record.tenant);
+    const bool usable = !row.removed && !row.record.withdrawn && view.customers.contains(row.record.customer);
     if (usable) {
-        view.callers[row.record.hash] = Caller{row.record.tenant, id};
+        view.callers[row.record.hash] = Caller{row.record.customer, id};
     } else {
         view.callers.erase(row.record.hash);
     }
@@ -118,9 +118,9 @@
 {
     auto view = std::make_shared<FleetView>(old);
     view->revision = state.revision();
-    bool tenantsCameOrWent = false;
+    bool customersCameOrWent = false;
     state.declarations.forChangesAfter(since, [&](const DeclarationName &name, const auto &row) {
-        const bool wasThere = view->tenants.contains(TenantId{name.name});
+        const bool wasThere = view->customers.contains(CustomerId{name.name});
         if (!row.removed) {
             takeDeclaration(*view, name, row.record.json);
         } else if (name.section == "site") {
@@ -128,9 +128,9 @@
         } else {
             dropDeclaration(*view, name);
         }
-        tenantsCameOrWent = tenantsCameOrWent || wasThere != view->tenants.contains(TenantId{name.name});
+        customersCameOrWent = customersCameOrWent || wasThere != view->customers.contains(CustomerId{name.name});
     });
-    state.keys.forChangesAfter(tenantsCameOrWent ? 0 : since, [&](const KeyId &id, const auto &row) {
+    state.keys.forChangesAfter(customersCameOrWent ? 0 : since, [&](const KeyId &id, const auto &row) {
         takeKey(*view, id, row);
     });
     takeLeases(*view, state);
@@ -218,7 +218,7 @@
     this->state.keys.forChangesAfter(
         result.getDelta().getWhole() ? this->state.index() : before, [](const KeyId &id, const auto &row) {
             if (row.record.withdrawn) {
-                logEvent(EventKind::KeyWithdrawn, {{"key_id", id.text}, {"tenant", row.record.tenant.text}});
+                logEvent(EventKind::KeyWithdrawn, {{"key_id", id.text}, {"tenant", row.record.customer.text}});
             }
         });
     const bool changed = this->state.index() != before || newLease;
--- a/src/entry/fleet_follower_base.h
+++ b/src/entry/fleet_follower_base.h
@@ -11,7 +11,7 @@
 namespace Chestnuthook
 {
 
-/** The view of the whole of @p state; costs as much as it has tenants (docs/CAPACITY.md). */
+/** The view of the whole of @p state; costs as much as it has customers (docs/CAPACITY.md). */
 [[nodiscard]] std::shared_ptr<const FleetView> makeView(const FleetState &state);
 
 /** The view of @p state, made from @p old, that of the same copy at log index @p since: only changed rows are parsed.
--- a/src/entry/fleet_view_type.h
+++ b/src/entry/fleet_view_type.h
@@ -20,7 +20,7 @@
 /** A caller, as its key tells. */
 struct Caller
 {
-    TenantId tenant; ///< For whom requests run.
+    CustomerId customer; ///< For whom requests run.
     KeyId key; ///< Which key came.
 };
 
@@ -36,7 +36,7 @@
 {
     Revision revision; ///< Of the declarations.
     std::unordered_map<std::string, Caller> callers; ///< By raw SHA-256 of the key; withdrawn keys are not in it.
-    std::unordered_map<TenantId, TenantDeclaration> tenants; ///< Declared tenants.
+    std::unordered_map<CustomerId, CustomerDeclaration> customers; ///< Declared customers.
     std::unordered_map<ModelId, ModelDeclaration> models; ///< Declared models.
     std::unordered_map<ServiceId, ServiceDeclaration> services; ///< Declared services.
     RouteTable routes; ///< Open to all; see isOpenToAll.
--- a/src/entry/permit_broker_base.cpp
+++ b/src/entry/permit_broker_base.cpp
@@ -107,7 +107,7 @@
 WaitingCall PermitBroker::callOf(const Ticket &ticket) const
 {
     WaitingCall call;
-    call.tenant = ticket.demand.tenant;
+    call.customer = ticket.demand.customer;
     call.attainedTokens = static_cast<double>(ticket.demand.attainedTokens);
     const double output = std::min(UsualOutputTokens,
         ticket.demand.maxTokens == 0 ? UsualOutputTokens : static_cast<double>(ticket.demand.maxTokens));
@@ -295,8 +295,8 @@
     for (const EntryRecord &entry : view->entries) {
         leased.insert(entry.id);
     }
-    for (const auto &[id, tenant] : view->tenants) {
-        this->ledger.fairness.setWeight(id, tenant.weight);
+    for (const auto &[id, customer] : view->customers) {
+        this->ledger.fairness.setWeight(id, customer.weight);
     }
     this->ledger.keepOnly(leased);
     for (const EndpointId &endpoint : this->ledger.endpoints()) {
--- a/src/entry/permit_exchange_base.cpp
+++ b/src/entry/permit_exchange_base.cpp
@@ -87,7 +87,7 @@
             const WaitingCall call = this->callOf(ticket);
             asks[i].setEndpoint(ticket.endpoint.text);
             asks[i].setProgram(ticket.demand.program.text);
-            asks[i].setTenant(ticket.demand.tenant.text);
+            asks[i].setTenant(ticket.demand.customer.text);
             asks[i].setTokens(static_cast<std::uint32_t>(call.expectedTokens));
             asks[i].setAttained(call.attainedTokens);
             asks[i].setPermit(ids[i]);
@@ -180,7 +180,7 @@
             this->ledger.setBound(endpoint, inFlightBound(one->kind));
         }
         WaitingCall call;
-        call.tenant = TenantId{textOf(request.getTenant())};
+        call.customer = CustomerId{textOf(request.getTenant())};
         call.attainedTokens = request.getAttained();
         call.expectedTokens = request.getTokens();
         call.arrived = this->loop.timers().now();
--- a/src/entry/program_runtime_base.cpp
+++ b/src/entry/program_runtime_base.cpp
@@ -26,9 +26,9 @@
 
 } // namespace
 
-ProgramId programOfKey(const TenantId &tenant, const std::string &key)
+ProgramId programOfKey(const CustomerId &customer, const std::string &key)
 {
-    return ProgramId{"p-" + sha256Hex(tenant.text + '\0' + key).substr(0, IdBytes * 2)};
+    return ProgramId{"p-" + sha256Hex(customer.text + '\0' + key).substr(0, IdBytes * 2)};
 }
 
 ProgramRuntime::ProgramRuntime(FleetFollower &follower, ControlClient &client, PeerLinks &peers, kj::Timer &timer)
@@ -158,7 +158,7 @@
     return slot->second.epoch;
 }
 
-Result<const ProgramRecord *> ProgramRuntime::findFor(const ProgramId &program, const TenantId &tenant) const
+Result<const ProgramRecord *> ProgramRuntime::findFor(const ProgramId &program, const CustomerId &customer) const
 {
     const Result<Epoch> epoch = this->readyEpoch(program);
     if (!epoch) {
@@ -168,15 +168,15 @@
     if (record == nullptr) {
         return fail(ErrorKind::NotFound, "no program " + program.text);
     }
-    if (record->tenant != tenant) {
+    if (record->customer != customer) {
         return fail(ErrorKind::ForeignProgram, "program " + program.text);
     }
     return record;
 }
 
-Result<ProgramRecord> ProgramRuntime::get(const ProgramId &program, const TenantId &tenant) const
+Result<ProgramRecord> ProgramRuntime::get(const ProgramId &program, const CustomerId &customer) const
 {
-    const auto found = this->findFor(program, tenant);
+    const auto found = this->findFor(program, customer);
     if (!found) {
         return tl::unexpected(found.error());
     }
@@ -225,16 +225,16 @@
 {
     const SiteDeclaration &site = this->follower.views.get()->site;
     ProgramRecord program;
-    program.tenant = wish.tenant;
+    program.customer = wish.customer;
     program.parent = wish.parent;
     program.createdMs = wallMsNow();
     program.requestId = wish.requestKey.empty() ? "" : wish.requestKey + ":" + wish.digest;
     Budget bound{site.defaultCalls, site.defaultTokens, site.defaultMs, site.maxDepth};
     const std::string digest = wish.requestKey.empty() ? "" : sha256Hex(wish.requestKey).substr(0, KeyPrefixDigits);
     if (wish.parent.empty()) {
-        program.id = wish.requestKey.empty() ? ProgramId{} : programOfKey(wish.tenant, wish.requestKey);
+        program.id = wish.requestKey.empty() ? ProgramId{} : programOfKey(wish.customer, wish.requestKey);
     } else {
-        const auto parent = this->findFor(wish.parent, wish.tenant);
+        const auto parent = this->findFor(wish.parent, wish.customer);
         if (!parent) {
             return tl::unexpected(parent.error());
         }
@@ -290,7 +290,7 @@
     }
     kj::Promise<Result<void>> carved = Result<void>();
     if (!wish.parent.empty()) {
-        carved = this->carve(**this->findFor(wish.parent, wish.tenant), *made);
+        carved = this->carve(**this->findFor(wish.parent, wish.customer), *made);
     }
     return carved
         .then([this, program = *made, epoch = *epoch](Result<void> &&done) -> kj::Promise<Result<void>> {
@@ -307,15 +307,15 @@
                 return tl::unexpected(done.error());
             }
             logEvent(EventKind::ProgramCreated,
-                {{"program", id.text}, {"tenant", wish.tenant.text}, {"parent", wish.parent.text},
+                {{"program", id.text}, {"tenant", wish.customer.text}, {"parent", wish.parent.text},
                     {"key_id", wish.key.text}});
             return id;
         });
 }
 
-kj::Promise<Result<void>> ProgramRuntime::endProgram(ProgramId program, TenantId tenant)
+kj::Promise<Result<void>> ProgramRuntime::endProgram(ProgramId program, CustomerId customer)
 {
-    const auto found = this->findFor(program, tenant);
+    const auto found = this->findFor(program, customer);
     if (!found) {
         return Result<void>(tl::unexpected(found.error()));
     }
--- a/src/entry/program_runtime_base.h
+++ b/src/entry/program_runtime_base.h
@@ -59,7 +59,7 @@
 /** What a caller asks of a new program. */
 struct ProgramWish
 {
-    TenantId tenant; ///< Of the caller's key.
+    CustomerId customer; ///< Of the caller's key.
     KeyId key; ///< The caller's; for events only.
     Budget budget; ///< Parts that are 0 take the site's defaults.
     ProgramId parent; ///< Empty for a root.
@@ -70,8 +70,8 @@
 /** Messages and answers of a program's model calls. */
 [[nodiscard]] std::vector<ChatMessage> historyOf(const ProgramRecord &program);
 
-/** The id of the root program that @p key of @p tenant creates, so that a resend through any entry finds it. */
-[[nodiscard]] ProgramId programOfKey(const TenantId &tenant, const std::string &key);
+/** The id of the root program that @p key of @p customer creates, so that a resend through any entry finds it. */
+[[nodiscard]] ProgramId programOfKey(const CustomerId &customer, const std::string &key);
 
 /** For the control thread. Part of it stands in program_runtime_call.cpp and program_runtime_upkeep.cpp. */
 class ProgramRuntime
@@ -91,7 +91,7 @@
 
     [[nodiscard]] kj::Promise<Result<ProgramId>> create(ProgramWish wish);
     [[nodiscard]] kj::Promise<Result<CallStart>> beginCall(
-        ProgramId program, CallNumber number, TenantId tenant, CallRequest request);
+        ProgramId program, CallNumber number, CustomerId customer, CallRequest request);
 
     /** Notes that @p endpoint is about to run the program, and takes a block where @p tokens are not held. */
     [[nodiscard]] kj::Promise<Result<void>> prepareAttempt(
@@ -106,13 +106,13 @@
 
     /** Takes the result of an attempt that began at an earlier owner. */
     [[nodiscard]] kj::Promise<Result<void>> takeResult(ProgramId program, CallRecord call, std::uint64_t covered);
-    [[nodiscard]] kj::Promise<Result<void>> endProgram(ProgramId program, TenantId tenant);
+    [[nodiscard]] kj::Promise<Result<void>> endProgram(ProgramId program, CustomerId customer);
 
     /** The cache of an ended program was released at @p endpoint. */
     [[nodiscard]] kj::Promise<void> released(ProgramId program, EndpointId endpoint, bool confirmed);
 
-    /** A copy of the program where the tenant may see it. */
-    [[nodiscard]] Result<ProgramRecord> get(const ProgramId &program, const TenantId &tenant) const;
+    /** A copy of the program where the customer may see it. */
+    [[nodiscard]] Result<ProgramRecord> get(const ProgramId &program, const CustomerId &customer) const;
 
     /** Whether all slots that the fleet state gives this entry are served. */
     [[nodiscard]] Result<void> ready() const;
@@ -128,7 +128,7 @@
     kj::Promise<void> takeOver(std::vector<std::pair<SlotId, Epoch>> slots);
     void adoptSlots(const std::vector<std::pair<SlotId, Epoch>> &slots, std::vector<ProgramRecord> programs);
     void reload(SlotId slot);
-    Result<const ProgramRecord *> findFor(const ProgramId &program, const TenantId &tenant) const;
+    Result<const ProgramRecord *> findFor(const ProgramId &program, const CustomerId &customer) const;
     Result<Epoch> readyEpoch(const ProgramId &program) const;
     Result<CallStart> checkCall(const ProgramRecord &program, CallNumber number, const CallRequest &request) const;
     Result<CallStart> checkKnown(
@@ -148,7 +148,7 @@
     void upkeepProgram(const ProgramRecord &program);
     void endDeadIntent(const ProgramRecord &program);
     void endChildren(const ProgramRecord &program);
-    kj::Promise<Result<void>> endChild(ProgramId child, TenantId tenant);
+    kj::Promise<Result<void>> endChild(ProgramId child, CustomerId customer);
     void forget(const ProgramRecord &program);
     void detach(const ProgramId &program, kj::Promise<void> work);
 
--- a/src/entry/program_runtime_call.cpp
+++ b/src/entry/program_runtime_call.cpp
@@ -178,9 +178,9 @@
 }
 
 kj::Promise<Result<CallStart>> ProgramRuntime::beginCall(
-    ProgramId program, CallNumber number, TenantId tenant, CallRequest request)
+    ProgramId program, CallNumber number, CustomerId customer, CallRequest request)
 {
-    const auto found = this->findFor(program, tenant);
+    const auto found = this->findFor(program, customer);
     Result<CallStart> start = found ? this->checkCall(**found, number, request) : tl::unexpected(found.error());
     if (!start || !start->fresh) {
         if (start && start->stream != nullptr) {
--- a/src/entry/program_runtime_upkeep.cpp
+++ b/src/entry/program_runtime_upkeep.cpp
@@ -158,7 +158,7 @@
 {
     const ProgramId child = program.children.front();
     this->detach(program.id,
-        this->endChild(child, program.tenant)
+        this->endChild(child, program.customer)
             .then([this, parent = program.id, child](Result<void> &&ended) -> kj::Promise<void> {
                 const Result<Epoch> epoch = this->readyEpoch(parent);
                 const bool gone = ended || ended.error().kind == ErrorKind::NotFound;
@@ -174,10 +174,10 @@
             }));
 }
 
-kj::Promise<Result<void>> ProgramRuntime::endChild(ProgramId child, TenantId tenant)
+kj::Promise<Result<void>> ProgramRuntime::endChild(ProgramId child, CustomerId customer)
 {
     if (this->readyEpoch(child)) {
-        return this->endProgram(child, tenant);
+        return this->endProgram(child, customer);
     }
     const SlotRecord *slot = this->follower.state.slots.find(slotOf(child.text));
     const EntryRecord *owner = slot == nullptr ? nullptr : this->follower.state.entries.find(slot->owner);
@@ -186,12 +186,12 @@
     }
     auto status = std::make_shared<int>(0);
     return this->peers.peer(owner->rpcAddress)
-        .then([child, tenant, status](Wire::EntryPeer::Client &&peer) {
+        .then([child, customer, status](Wire::EntryPeer::Client &&peer) {
             auto call = peer.forwardRequest();
             auto request = call.initRequest();
             request.setMethod("DELETE");
             request.setPath("/v1/programs/" + child.text);
-            request.setTenant(tenant.text);
+            request.setTenant(customer.text);
             request.setHops(1);
             call.setSink(kj::heap<StatusSink>(status));
             return call.send().ignoreResult();
--- a/src/entry/program_service_base.cpp
+++ b/src/entry/program_service_base.cpp
@@ -110,7 +110,7 @@
 {
     builder.setMethod(request.method);
     builder.setPath(request.uri);
-    builder.setTenant(request.caller.tenant.text);
+    builder.setTenant(request.caller.customer.text);
     builder.setKeyId(request.caller.key.text);
     builder.setIdempotencyKey(request.idempotencyKey);
     builder.setBody(dataOf(request.body));
@@ -130,7 +130,7 @@
     request.method = textOf(reader.getMethod());
     request.uri = textOf(reader.getPath());
     Poco::URI(request.uri).getPathSegments(request.path);
-    request.caller = Caller{TenantId{textOf(reader.getTenant())}, KeyId{textOf(reader.getKeyId())}};
+    request.caller = Caller{CustomerId{textOf(reader.getTenant())}, KeyId{textOf(reader.getKeyId())}};
     request.idempotencyKey = textOf(reader.getIdempotencyKey());
     request.body = bytesOf(reader.getBody());
     request.forwarded = reader.getHops() > 0;
@@ -193,14 +193,14 @@
         return tl::unexpected(parsed.error());
     }
     this->wish = std::move(*parsed);
-    this->wish.tenant = this->request.caller.tenant;
+    this->wish.customer = this->request.caller.customer;
     this->wish.key = this->request.caller.key;
     this->wish.requestKey = this->request.idempotencyKey;
     this->wish.digest = sha256Hex(this->request.body);
     if (!this->wish.parent.empty()) {
         this->program = this->wish.parent;
     } else if (!this->wish.requestKey.empty()) {
-        this->program = programOfKey(this->wish.tenant, this->wish.requestKey);
+        this->program = programOfKey(this->wish.customer, this->wish.requestKey);
     }
     return {};
 }
@@ -213,7 +213,7 @@
     this->call = std::move(*parsed);
     const bool alone = this->route == Route::Service || (this->route == Route::Chat && this->program.empty());
     if (alone && !this->request.idempotencyKey.empty()) {
-        this->program = programOfKey(this->request.caller.tenant, this->request.idempotencyKey);
+        this->program = programOfKey(this->request.caller.customer, this->request.idempotencyKey);
     }
     return {};
 }
@@ -313,7 +313,7 @@
         return this->create();
     case Route::Show: {
         const Result<ProgramRecord> record = this->context.loop.call([this]() {
-            return this->context.programs.get(this->program, this->request.caller.tenant);
+            return this->context.programs.get(this->program, this->request.caller.customer);
         });
         if (!record) {
             return tl::unexpected(record.error());
@@ -323,7 +323,7 @@
     }
     case Route::End: {
         Result<void> ended = this->context.loop.call([this]() {
-            return this->context.programs.endProgram(this->program, this->request.caller.tenant);
+            return this->context.programs.endProgram(this->program, this->request.caller.customer);
         });
         if (ended) {
             replyJson(this->answer, StatusOk, R"({"state":"ended"})");
@@ -331,13 +331,13 @@
         return ended;
     }
     case Route::Call:
-        return CallRunner(this->context, this->answer, this->program, this->request.caller.tenant)
+        return CallRunner(this->context, this->answer, this->program, this->request.caller.customer)
             .run(this->number, this->call);
     case Route::Chat:
         return this->request.program.empty() ? this->runOneCall() : this->runInProgram();
     case Route::Service:
         if (this->plainTimeoutMs > 0) {
-            return CallRunner(this->context, this->answer, {}, this->request.caller.tenant)
+            return CallRunner(this->context, this->answer, {}, this->request.caller.customer)
                 .runPlain(this->call, this->plainTimeoutMs);
         }
         return this->runOneCall();
@@ -360,7 +360,7 @@
 Result<void> ProgramService::runOneCall()
 {
     ProgramWish one;
-    one.tenant = this->request.caller.tenant;
+    one.customer = this->request.caller.customer;
     one.key = this->request.caller.key;
     one.requestKey = this->request.idempotencyKey;
     one.digest = this->call.digest;
@@ -372,11 +372,11 @@
         return tl::unexpected(id.error());
     }
     Result<void> ran =
-        CallRunner(this->context, this->answer, *id, this->request.caller.tenant).run(CallNumber{1}, this->call);
+        CallRunner(this->context, this->answer, *id, this->request.caller.customer).run(CallNumber{1}, this->call);
     const bool again = !ran && ran.error().ran == Ran::No && !one.requestKey.empty();
     if (!again) {
         this->context.loop.call([&]() {
-            return this->context.programs.endProgram(*id, this->request.caller.tenant).ignoreResult();
+            return this->context.programs.endProgram(*id, this->request.caller.customer).ignoreResult();
         });
     }
     return ran;
@@ -385,13 +385,13 @@
 Result<void> ProgramService::runInProgram()
 {
     const Result<ProgramRecord> record = this->context.loop.call([this]() {
-        return this->context.programs.get(this->program, this->request.caller.tenant);
+        return this->context.programs.get(this->program, this->request.caller.customer);
     });
     if (!record) {
         return tl::unexpected(record.error());
     }
     const auto next = static_cast<std::uint32_t>(record->calls.size() + 1);
-    return CallRunner(this->context, this->answer, this->program, this->request.caller.tenant)
+    return CallRunner(this->context, this->answer, this->program, this->request.caller.customer)
         .run(CallNumber{next}, withoutHistory(this->call, historyOf(*record)));
 }
 
--- a/src/entry/quarantine_base.cpp
+++ b/src/entry/quarantine_base.cpp
@@ -27,9 +27,9 @@
 
 } // namespace
 
-std::string fingerprintOf(const TenantId &tenant, const CallRequest &request)
+std::string fingerprintOf(const CustomerId &customer, const CallRequest &request)
 {
-    std::string content = tenant.text + '\0' + request.model.text + request.service.text + '\0';
+    std::string content = customer.text + '\0' + request.model.text + request.service.text + '\0';
     for (const ChatMessage &message : request.messages) {
         content += message.role + '\0' + message.content + '\0';
     }
--- a/src/entry/quarantine_base.h
+++ b/src/entry/quarantine_base.h
@@ -1,5 +1,5 @@
 /** @file quarantine_base.h  Requests that were in flight where endpoints died: strikes in the fleet state, by
- * fingerprint of tenant and content, whatever program or entry they come through. */
+ * fingerprint of customer and content, whatever program or entry they come through. */
 #pragma once
 
 #include <map>
@@ -19,8 +19,8 @@
 /** From this many strikes on a request is refused; with fewer it runs alone at an endpoint. */
 constexpr std::uint32_t StrikesToRefuse = 2;
 
-/** Names a request by its tenant and content. */
-[[nodiscard]] std::string fingerprintOf(const TenantId &tenant, const CallRequest &request);
+/** Names a request by its customer and content. */
+[[nodiscard]] std::string fingerprintOf(const CustomerId &customer, const CallRequest &request);
 
 /** For the control thread. */
 class Quarantine
--- a/src/fleet/declaration_func.cpp
+++ b/src/fleet/declaration_func.cpp
@@ -262,15 +262,15 @@
 
 } // namespace
 
-Result<TenantDeclaration> parseTenant(const std::string &name, const std::string &json)
+Result<CustomerDeclaration> parseCustomer(const std::string &name, const std::string &json)
 {
     return FieldReader::open("tenants", name, json).map([&](const FieldReader &fields) {
-        TenantDeclaration tenant;
-        tenant.id = TenantId{name};
-        tenant.ratePerSecond = fields.number("rate");
-        tenant.burst = fields.number("burst");
-        tenant.weight = fields.number("weight");
-        return tenant;
+        CustomerDeclaration customer;
+        customer.id = CustomerId{name};
+        customer.ratePerSecond = fields.number("rate");
+        customer.burst = fields.number("burst");
+        customer.weight = fields.number("weight");
+        return customer;
     });
 }
 
--- a/src/fleet/declaration_func.h
+++ b/src/fleet/declaration_func.h
@@ -21,7 +21,7 @@
 };
 
 /** Each parser's errors are BadDeclaration, with the first faulty field and the remedy in the text. */
-[[nodiscard]] Result<TenantDeclaration> parseTenant(const std::string &name, const std::string &json);
+[[nodiscard]] Result<CustomerDeclaration> parseCustomer(const std::string &name, const std::string &json);
 [[nodiscard]] Result<ModelDeclaration> parseModel(const std::string &name, const std::string &json);
 [[nodiscard]] Result<AdapterDeclaration> parseAdapter(const std::string &name, const std::string &json);
 [[nodiscard]] Result<ServiceDeclaration> parseService(const std::string &name, const std::string &json);
--- a/src/fleet/declaration_table.cpp
+++ b/src/fleet/declaration_table.cpp
@@ -38,7 +38,7 @@
         "give the seconds for which callers may still read an ended program"},
 });
 
-constexpr auto TenantFields = std::to_array<FieldRow>({
+constexpr auto CustomerFields = std::to_array<FieldRow>({
     {"rate", Number, 0.001, MaxRate, 1, true, "", {}, "Requests per second, counted over all entries.",
         "give the tenant's requests per second"},
     {"burst", Number, 1, MaxRate, 1, true, "", {}, "Requests that may come at once.",
@@ -94,7 +94,7 @@
 
 constexpr auto Sections = std::to_array<SectionRow>({
     {"site", true, SiteFields, "Budgets and retention of the whole site."},
-    {"tenants", false, TenantFields, "Customers with their rate and burst, counted over all entries."},
+    {"tenants", false, CustomerFields, "Customers with their rate and burst, counted over all entries."},
     {"models", false, ModelFields, "Models that callers may name."},
     {"adapters", false, AdapterFields, "Adapters of models."},
     {"services", false, ServiceFields, "Plain services that calls are routed to."},
--- a/src/fleet/declaration_type.h
+++ b/src/fleet/declaration_type.h
@@ -12,12 +12,12 @@
 {
 
 /** A customer's share. */
-struct TenantDeclaration
+struct CustomerDeclaration
 {
-    TenantId id; ///< Its name.
+    CustomerId id; ///< Its name.
     double ratePerSecond = 0; ///< Requests per second, counted over all entries.
     double burst = 0; ///< Requests that may come at once.
-    double weight = 1; ///< Share of endpoints under overload, against the other tenants.
+    double weight = 1; ///< Share of endpoints under overload, against the other customers.
 };
 
 /** A model that callers may name. */
--- a/src/fleet/fleet_base.cpp
+++ b/src/fleet/fleet_base.cpp
@@ -26,7 +26,7 @@
 {
     auto key = item.initKey();
     key.setId(wireText(id.text));
-    key.setTenant(wireText(record.tenant.text));
+    key.setTenant(wireText(record.customer.text));
     key.setHash(dataOf(record.hash));
     key.setWithdrawn(record.withdrawn);
     key.setNote(wireText(record.note));
@@ -119,7 +119,7 @@
         const auto key = item.getKey();
         const KeyId id{textOf(key.getId())};
         takeRow(state.keys, id,
-            KeyRecord{id, TenantId{textOf(key.getTenant())}, bytesOf(key.getHash()), key.getWithdrawn(),
+            KeyRecord{id, CustomerId{textOf(key.getTenant())}, bytesOf(key.getHash()), key.getWithdrawn(),
                 textOf(key.getNote())},
             item);
         break;
--- a/src/fleet/fleet_base.h
+++ b/src/fleet/fleet_base.h
@@ -86,7 +86,7 @@
     std::uint64_t oldestDelta = 0; ///< Copies older than this get a whole copy: tombstones before it are pruned.
 };
 
-/** The slot of a program or tenant. */
+/** The slot of a program or customer. */
 [[nodiscard]] SlotId slotOf(std::string_view id);
 
 } // namespace Chestnuthook
--- a/src/fleet/fleet_cmd.cpp
+++ b/src/fleet/fleet_cmd.cpp
@@ -129,18 +129,18 @@
 {
     const auto key = command.getIssueKey();
     const KeyId id{textOf(key.getId())};
-    const TenantId tenant{textOf(key.getTenant())};
+    const CustomerId customer{textOf(key.getTenant())};
     if (id.empty() || key.getHash().size() != KeyHashBytes) {
         return fail(ErrorKind::BadRequest, "a key needs an id and a SHA-256 hash");
     }
     if (this->keys.all().contains(id)) {
         return fail(ErrorKind::Conflict, "key id " + id.text + " was used before");
     }
-    if (this->declarations.find(DeclarationName{"tenants", tenant.text}) == nullptr) {
-        return fail(ErrorKind::NotFound, "tenant " + tenant.text + " is not declared");
+    if (this->declarations.find(DeclarationName{"tenants", customer.text}) == nullptr) {
+        return fail(ErrorKind::NotFound, "tenant " + customer.text + " is not declared");
     }
     if (mode == CommandMode::Execute) {
-        this->keys.put(id, KeyRecord{id, tenant, bytesOf(key.getHash()), false, textOf(key.getNote())}, index);
+        this->keys.put(id, KeyRecord{id, customer, bytesOf(key.getHash()), false, textOf(key.getNote())}, index);
     }
     return Epoch{};
 }
--- a/src/fleet/fleet_type.h
+++ b/src/fleet/fleet_type.h
@@ -11,7 +11,7 @@
 namespace Chestnuthook
 {
 
-constexpr std::uint16_t SlotCount = 1024; ///< Shares of all programs and tenants; a slot has one owner at a time.
+constexpr std::uint16_t SlotCount = 1024; ///< Shares of all programs and customers; a slot has one owner at a time.
 
 /** Names one declaration: its section and its name in it. */
 struct DeclarationName
@@ -31,7 +31,7 @@
 struct KeyRecord
 {
     KeyId id; ///< Shown to operators.
-    TenantId tenant; ///< For whom requests with this key run.
+    CustomerId customer; ///< For whom requests with this key run.
     std::string hash; ///< SHA-256 of the key, raw.
     bool withdrawn = false; ///< Final once set: no command clears it.
     std::string note; ///< Free text of the operator.
--- a/src/load/load_client_base.cpp
+++ b/src/load/load_client_base.cpp
@@ -123,7 +123,7 @@
     constexpr auto LookPeriod = std::chrono::milliseconds(100);
     constexpr int StatusUnknownKey = 401;
     for (const std::string &entry : target.entries) {
-        for (const auto &[tenant, key] : target.tenants) {
+        for (const auto &[customer, key] : target.customers) {
             for (int look = 0;
                  look < Looks && sendRequest(entry, key, "GET", "/v1/programs/none", "").status == StatusUnknownKey;
                  ++look) {
@@ -149,7 +149,7 @@
     target.service = valueOf(variables, "SERVICE");
     for (const auto &[name, value] : variables) {
         if (name.starts_with(KeyPrefix)) {
-            target.tenants.emplace_back(name.substr(KeyPrefix.size()), value);
+            target.customers.emplace_back(name.substr(KeyPrefix.size()), value);
         }
     }
     for (std::size_t i = 0; i < target.engines.size(); ++i) {
--- a/src/load/load_client_base.h
+++ b/src/load/load_client_base.h
@@ -18,7 +18,7 @@
     std::vector<std::string> services; ///< Stand-ins.
     std::string model; ///< Name of the model.
     std::string service; ///< Name of the service.
-    std::vector<std::pair<std::string, std::string>> tenants; ///< Name and key.
+    std::vector<std::pair<std::string, std::string>> customers; ///< Name and key.
     std::map<std::string, int> pids; ///< Of processes by name; empty where the folder has none.
     std::map<std::string, std::string> addresses; ///< Of stand-ins by name, such as engine-1.
 };
--- a/src/load/load_mix_func.cpp
+++ b/src/load/load_mix_func.cpp
@@ -42,8 +42,8 @@
 }};
 
 constexpr std::uint32_t SubAgentTurns = 3;
-constexpr double LargeTenantWeight = 4;
-constexpr std::size_t TenantsPerLargeOne = 3;
+constexpr double LargeCustomerWeight = 4;
+constexpr std::size_t CustomersPerLargeOne = 3;
 
 /** Draws that are the same with every standard library. */
 class Draw
@@ -101,11 +101,11 @@
         }));
 }
 
-std::size_t drawTenant(const LoadArrivals &arrivals, Draw &draw)
+std::size_t drawCustomer(const LoadArrivals &arrivals, Draw &draw)
 {
-    std::vector<double> weights(arrivals.tenants, 1);
-    for (std::size_t i = 0; i < (arrivals.tenants + TenantsPerLargeOne - 1) / TenantsPerLargeOne; ++i) {
-        weights[i] = LargeTenantWeight;
+    std::vector<double> weights(arrivals.customers, 1);
+    for (std::size_t i = 0; i < (arrivals.customers + CustomersPerLargeOne - 1) / CustomersPerLargeOne; ++i) {
+        weights[i] = LargeCustomerWeight;
     }
     weights.front() *= arrivals.greedyFactor;
     double total = 0;
@@ -113,11 +113,11 @@
         total += weight;
     }
     double at = draw.uniform() * total;
-    std::size_t tenant = 0;
-    while (tenant + 1 < weights.size() && at >= weights[tenant]) {
-        at -= weights[tenant++];
+    std::size_t customer = 0;
+    while (customer + 1 < weights.size() && at >= weights[customer]) {
+        at -= weights[customer++];
     }
-    return tenant;
+    return customer;
 }
 
 } // namespace
@@ -143,7 +143,7 @@
         LoadProgram program;
         program.number = programs.size();
         program.arrivalMs = static_cast<std::int64_t>(now);
-        program.tenant = drawTenant(arrivals, draw);
+        program.customer = drawCustomer(arrivals, draw);
         const double spread = (mix.mostTurns - mix.leastTurns) / 4.0;
         const auto turns = mix.leastTurns + static_cast<std::uint32_t>(draw.exponential(spread));
         for (std::uint32_t turn = 0; turn < std::min(turns, mix.mostTurns); ++turn) {
--- a/src/load/load_mix_type.h
+++ b/src/load/load_mix_type.h
@@ -29,7 +29,7 @@
 struct LoadProgram
 {
     std::uint64_t number = 0; ///< In the run, from 0.
-    std::size_t tenant = 0; ///< Index into the run's tenants.
+    std::size_t customer = 0; ///< Index into the run's customers.
     std::int64_t arrivalMs = 0; ///< From the run's start.
     std::uint32_t callBudget = 0; ///< Calls it may make; steps past it must be refused.
     std::vector<LoadStep> steps; ///< In order.
@@ -61,8 +61,8 @@
     std::uint64_t programs = 100; ///< At most so many.
     std::int64_t durationMs = 20'000; ///< No arrivals after it.
     double timeScale = 0.05; ///< Factor on thinking and tool time, for small stand-ins.
-    std::size_t tenants = 1; ///< How many there are; the first ones are large.
-    double greedyFactor = 1; ///< Factor on the arrivals of the first tenant.
+    std::size_t customers = 1; ///< How many there are; the first ones are large.
+    double greedyFactor = 1; ///< Factor on the arrivals of the first customer.
 };
 
 /** The mix of @p deployment, or null. */
--- a/src/load/load_program_base.cpp
+++ b/src/load/load_program_base.cpp
@@ -57,7 +57,7 @@
 
 const std::string &LoadProgramRunner::key() const
 {
-    return this->shared.target.tenants[this->plan.tenant].second;
+    return this->shared.target.customers[this->plan.customer].second;
 }
 
 bool LoadProgramRunner::run()
@@ -92,7 +92,7 @@
     this->mostBudget = calls;
     this->failed = this->id.empty();
     if (this->failed) {
-        this->shared.record.addAbandoned(this->plan.tenant, created.code.empty() ? "no_answer" : created.code);
+        this->shared.record.addAbandoned(this->plan.customer, created.code.empty() ? "no_answer" : created.code);
     }
     return !this->failed;
 }
@@ -122,7 +122,7 @@
         answer = sendRequest(entry, this->key(), method, path, body);
         const bool refused = answer.status == StatusRate || answer.status == StatusNotReady;
         if (refused) {
-            this->shared.record.addRefusal(this->plan.tenant);
+            this->shared.record.addRefusal(this->plan.customer);
         }
         if (!mayTryAgain(answer)) {
             break;
@@ -133,7 +133,7 @@
     const std::chrono::duration<double> took = Clock::now() - began;
     this->busy += took.count();
     if (answer.status == StatusOk && method == "POST") {
-        this->shared.record.addCall(this->plan.tenant, took.count());
+        this->shared.record.addCall(this->plan.customer, took.count());
     }
     return answer;
 }
@@ -158,7 +158,7 @@
         return false;
     }
     this->failed = true;
-    this->shared.record.addAbandoned(this->plan.tenant, answer.code.empty() ? "no_answer" : answer.code);
+    this->shared.record.addAbandoned(this->plan.customer, answer.code.empty() ? "no_answer" : answer.code);
     return false;
 }
 
--- a/src/load/load_record_base.cpp
+++ b/src/load/load_record_base.cpp
@@ -33,34 +33,34 @@
     }
 }
 
-void LoadRecord::addProgram(std::size_t tenant, bool finished, double seconds, std::int64_t arrivalMs)
+void LoadRecord::addProgram(std::size_t customer, bool finished, double seconds, std::int64_t arrivalMs)
 {
     const std::scoped_lock lock(this->mutex);
-    this->tenants.at(tenant).programs += 1;
+    this->customers.at(customer).programs += 1;
     if (finished) {
-        this->tenants.at(tenant).finished += 1;
+        this->customers.at(customer).finished += 1;
         this->programSeconds.push_back(seconds);
         this->timeline.emplace_back(static_cast<double>(arrivalMs) / 1000, seconds);
     }
 }
 
-void LoadRecord::addCall(std::size_t tenant, double seconds)
+void LoadRecord::addCall(std::size_t customer, double seconds)
 {
     const std::scoped_lock lock(this->mutex);
-    this->tenants.at(tenant).calls += 1;
+    this->customers.at(customer).calls += 1;
     this->callSeconds.push_back(seconds);
 }
 
-void LoadRecord::addRefusal(std::size_t tenant)
+void LoadRecord::addRefusal(std::size_t customer)
 {
     const std::scoped_lock lock(this->mutex);
-    this->tenants.at(tenant).refusals += 1;
+    this->customers.at(customer).refusals += 1;
 }
 
-void LoadRecord::addAbandoned(std::size_t tenant, const std::string &code)
+void LoadRecord::addAbandoned(std::size_t customer, const std::string &code)
 {
     const std::scoped_lock lock(this->mutex);
-    this->tenants.at(tenant).abandoned += 1;
+    this->customers.at(customer).abandoned += 1;
     this->abandonedCodes[code] += 1;
 }
 
--- a/src/load/load_record_base.h
+++ b/src/load/load_record_base.h
@@ -19,8 +19,8 @@
 /** Name of @p promise, for reports. */
 [[nodiscard]] std::string loadPromiseName(LoadPromise promise);
 
-/** Counts of one tenant. */
-struct TenantRecord
+/** Counts of one customer. */
+struct CustomerRecord
 {
     std::uint64_t programs = 0; ///< Arrived.
     std::uint64_t finished = 0; ///< Came to their end.
@@ -42,20 +42,20 @@
 class LoadRecord
 {
 public:
-    explicit LoadRecord(std::size_t tenants)
-        : tenants(tenants)
+    explicit LoadRecord(std::size_t customers)
+        : customers(customers)
     {
     }
 
     /** Counts one check of @p promise; @p what says what was seen where it did not hold. */
     void check(LoadPromise promise, bool held, const std::string &what);
-    void addProgram(std::size_t tenant, bool finished, double seconds, std::int64_t arrivalMs);
-    void addCall(std::size_t tenant, double seconds);
-    void addRefusal(std::size_t tenant);
-    void addAbandoned(std::size_t tenant, const std::string &code);
+    void addProgram(std::size_t customer, bool finished, double seconds, std::int64_t arrivalMs);
+    void addCall(std::size_t customer, double seconds);
+    void addRefusal(std::size_t customer);
+    void addAbandoned(std::size_t customer, const std::string &code);
     void addTool(SentTool tool);
 
-    std::vector<TenantRecord> tenants; ///< By index.
+    std::vector<CustomerRecord> customers; ///< By index.
     std::vector<double> programSeconds; ///< Of finished programs, without thinking time.
     std::vector<std::pair<double, double>> timeline; ///< Arrival and latency of each finished program, in seconds.
     std::vector<double> callSeconds; ///< Of answered calls.
--- a/src/load/load_report_func.cpp
+++ b/src/load/load_report_func.cpp
@@ -80,14 +80,14 @@
     }
 }
 
-void writeTenants(std::ostream &out, const LoadReport &report, const LoadRecord &record)
+void writeCustomers(std::ostream &out, const LoadReport &report, const LoadRecord &record)
 {
     out << "\n## Tenants\n\n| tenant | programs | finished | calls | refusals | given up |\n"
         << "| --- | --- | --- | --- | --- | --- |\n";
-    for (std::size_t i = 0; i < record.tenants.size(); ++i) {
-        const TenantRecord &tenant = record.tenants[i];
-        out << "| " << report.tenantNames[i] << " | " << tenant.programs << " | " << tenant.finished << " | "
-            << tenant.calls << " | " << tenant.refusals << " | " << tenant.abandoned << " |\n";
+    for (std::size_t i = 0; i < record.customers.size(); ++i) {
+        const CustomerRecord &customer = record.customers[i];
+        out << "| " << report.customerNames[i] << " | " << customer.programs << " | " << customer.finished << " | "
+            << customer.calls << " | " << customer.refusals << " | " << customer.abandoned << " |\n";
     }
     for (const auto &[code, count] : record.abandonedCodes) {
         out << "\n- given up with `" << code << "`: " << count << "\n";
@@ -140,12 +140,12 @@
     std::uint64_t calls = 0;
     std::uint64_t refusals = 0;
     double worst = 1;
-    for (const TenantRecord &tenant : record.tenants) {
-        programs += tenant.programs;
-        finished += tenant.finished;
-        calls += tenant.calls;
-        refusals += tenant.refusals;
-        worst = tenant.programs == 0 ? worst : std::min(worst, shareOf(tenant.finished, tenant.programs));
+    for (const CustomerRecord &customer : record.customers) {
+        programs += customer.programs;
+        finished += customer.finished;
+        calls += customer.calls;
+        refusals += customer.refusals;
+        worst = customer.programs == 0 ? worst : std::min(worst, shareOf(customer.finished, customer.programs));
     }
     measures["latency_mean_s"] = meanOf(record.programSeconds);
     measures["latency_p50_s"] = quantileOf(record.programSeconds, 0.5);
@@ -174,7 +174,7 @@
            "and 503 counts as a\nrefusal; whether it was inside the tenant's rate is for the reader who knows the "
            "declared rates.\n";
     writePromises(out, record);
-    writeTenants(out, report, record);
+    writeCustomers(out, report, record);
     out << "\n## Faults\n\n";
     for (const std::string &fault : report.faults) {
         out << "- " << fault << "\n";
@@ -202,11 +202,11 @@
     for (const auto &[arrival, seconds] : record.timeline) {
         timeline << arrival << " " << seconds << "\n";
     }
-    std::ofstream tenants = openFile(folder + "/tenants.dat");
-    for (std::size_t i = 0; i < record.tenants.size(); ++i) {
-        const TenantRecord &tenant = record.tenants[i];
-        tenants << report.tenantNames[i] << " " << shareOf(tenant.finished, tenant.programs) << " "
-                << shareOf(tenant.refusals, tenant.calls) << "\n";
+    std::ofstream customers = openFile(folder + "/tenants.dat");
+    for (std::size_t i = 0; i < record.customers.size(); ++i) {
+        const CustomerRecord &customer = record.customers[i];
+        customers << report.customerNames[i] << " " << shareOf(customer.finished, customer.programs) << " "
+                  << shareOf(customer.refusals, customer.calls) << "\n";
     }
     openFile(folder + "/cache.dat") << "prompt " << report.cache.prompt << "\n\"cached once\" "
                                     << report.cache.cachedOnce << "\nrecomputed " << report.cache.recomputed << "\n";
--- a/src/load/load_report_func.h
+++ b/src/load/load_report_func.h
@@ -17,7 +17,7 @@
 struct LoadReport
 {
     std::string command; ///< How the run was started, without keys.
-    std::vector<std::string> tenantNames; ///< By index.
+    std::vector<std::string> customerNames; ///< By index.
     std::vector<std::string> faults; ///< What was carried out.
     CacheUse cache; ///< From the engines' ledgers.
     std::uint64_t notStarted = 0; ///< Arrivals past the bound on programs at once.
--- a/src/load/load_runner_base.cpp
+++ b/src/load/load_runner_base.cpp
@@ -55,7 +55,7 @@
             threads.emplace_back([this, &shared, plan = &*arrival]() {
                 LoadProgramRunner runner(shared, *plan);
                 const bool finished = runner.run();
-                this->record.addProgram(plan->tenant, finished, runner.busySeconds(), plan->arrivalMs);
+                this->record.addProgram(plan->customer, finished, runner.busySeconds(), plan->arrivalMs);
                 this->running -= 1;
             });
         }
--- a/src/load/main.cpp
+++ b/src/load/main.cpp
@@ -53,7 +53,7 @@
     {"compare", "report", {}, "name the report folder of an earlier run"},
 };
 
-std::vector<LoadProgram> plannedPrograms(std::size_t tenants)
+std::vector<LoadProgram> plannedPrograms(std::size_t customers)
 {
     LoadArrivals arrivals;
     arrivals.seed = static_cast<std::uint64_t>(FLAGS_seed);
@@ -62,7 +62,7 @@
     arrivals.durationMs = FLAGS_seconds * 1000;
     arrivals.timeScale = FLAGS_time_scale;
     arrivals.greedyFactor = FLAGS_greedy_factor;
-    arrivals.tenants = tenants;
+    arrivals.customers = customers;
     return planLoad(*findLoadMix(FLAGS_mix), arrivals);
 }
 
@@ -88,17 +88,17 @@
     }
     const std::map<std::string, double> other =
         FLAGS_compare.empty() ? std::map<std::string, double>() : readMeasures(FLAGS_compare);
-    LoadRecord record(target.tenants.size());
+    LoadRecord record(target.customers.size());
     LoadBounds bounds;
     bounds.durationMs = FLAGS_seconds * 1000;
     bounds.graceMs = FLAGS_grace_seconds * 1000;
     bounds.programsAtOnce = static_cast<std::size_t>(FLAGS_at_once);
     bounds.progress = ::isatty(STDERR_FILENO) == 1;
     LoadReport report =
-        LoadRunner(target, record, bounds, randomHex(4)).run(plannedPrograms(target.tenants.size()), *faults);
+        LoadRunner(target, record, bounds, randomHex(4)).run(plannedPrograms(target.customers.size()), *faults);
     report.command = command;
-    for (const auto &[name, key] : target.tenants) {
-        report.tenantNames.push_back(name);
+    for (const auto &[name, key] : target.customers) {
+        report.customerNames.push_back(name);
     }
     checkTools(readLedgers(target.services), record);
     report.cache = cacheUse(readLedgers(target.engines));
--- a/src/policy/endpoint_queue_base.h
+++ b/src/policy/endpoint_queue_base.h
@@ -19,7 +19,7 @@
 {
     std::size_t inFlight = 32; ///< Calls that may run at the same time.
     std::size_t waiting = 512; ///< Calls that may wait.
-    bool fair = true; ///< Serve tenants by their counters; else all calls by the order alone.
+    bool fair = true; ///< Serve customers by their counters; else all calls by the order alone.
 };
 
 /** Invariants: at most bounds.inFlight calls run, each id is in flight at most once, and while an isolated call runs
@@ -35,15 +35,15 @@
     }
 
     /** Adds a call. @return the id of the call that was shed for want of room, which may be @p call's own: the newest
-     * call of the tenant that waits for most by its weight. */
+     * call of the customer that waits for most by its weight. */
     std::optional<std::uint64_t> push(const WaitingCall &call, FairCounters &fairness)
     {
-        if (this->tenantOf.contains(call.id)) {
+        if (this->customerOf.contains(call.id)) {
             return std::nullopt; // A resend.
         }
-        fairness.enter(call.tenant);
-        this->tenantOf[call.id] = call.tenant;
-        this->waiting[call.tenant].emplace(std::pair{this->order.key(call), call.id}, call);
+        fairness.enter(call.customer);
+        this->customerOf[call.id] = call.customer;
+        this->waiting[call.customer].emplace(std::pair{this->order.key(call), call.id}, call);
         this->waitingTokensSum += call.expectedTokens;
         if (++this->waitingCount <= this->bounds.waiting) {
             return std::nullopt;
@@ -59,8 +59,8 @@
         if (this->waitingCount == 0 || this->running.size() >= this->bounds.inFlight || this->isolatedRuns) {
             return std::nullopt;
         }
-        const TenantId tenant = this->nextTenant(fairness);
-        const WaitingCall call = this->waiting[tenant].begin()->second;
+        const CustomerId customer = this->nextCustomer(fairness);
+        const WaitingCall call = this->waiting[customer].begin()->second;
         if (call.isolated && !this->running.empty()) {
             return std::nullopt; // Its turn has come: what runs is let end first.
         }
@@ -68,7 +68,7 @@
         this->running.emplace(call.id, call);
         this->runningTokensSum += call.expectedTokens;
         this->isolatedRuns = call.isolated;
-        fairness.charge(call.tenant, call.expectedTokens);
+        fairness.charge(call.customer, call.expectedTokens);
         return call;
     }
 
@@ -79,9 +79,9 @@
             return;
         }
         this->remove(call.id, fairness);
-        fairness.enter(call.tenant);
-        fairness.charge(call.tenant, call.expectedTokens);
-        this->tenantOf[call.id] = call.tenant;
+        fairness.enter(call.customer);
+        fairness.charge(call.customer, call.expectedTokens);
+        this->customerOf[call.id] = call.customer;
         this->running.emplace(call.id, call);
         this->runningTokensSum += call.expectedTokens;
         this->isolatedRuns = this->isolatedRuns || call.isolated;
@@ -90,24 +90,24 @@
     /** A call ended, or was given up while it waited. @return false where it is unknown, such as on a resend. */
     bool remove(std::uint64_t id, FairCounters &fairness)
     {
-        const auto tenant = this->tenantOf.find(id);
-        if (tenant == this->tenantOf.end()) {
+        const auto customer = this->customerOf.find(id);
+        if (customer == this->customerOf.end()) {
             return false;
         }
-        fairness.leave(tenant->second);
+        fairness.leave(customer->second);
         const auto runs = this->running.find(id);
         if (runs != this->running.end()) {
             this->isolatedRuns = this->isolatedRuns && !runs->second.isolated;
             this->runningTokensSum -= runs->second.expectedTokens;
             this->running.erase(runs);
         } else {
-            const auto &calls = this->waiting[tenant->second];
+            const auto &calls = this->waiting[customer->second];
             const auto found = std::find_if(calls.begin(), calls.end(), [&](const auto &entry) {
                 return entry.first.second == id;
             });
             this->drop(WaitingCall(found->second));
         }
-        this->tenantOf.erase(id);
+        this->customerOf.erase(id);
         return true;
     }
 
@@ -126,7 +126,7 @@
     }
     [[nodiscard]] bool contains(std::uint64_t id) const
     {
-        return this->tenantOf.contains(id);
+        return this->customerOf.contains(id);
     }
     [[nodiscard]] bool isRunning(std::uint64_t id) const
     {
@@ -140,7 +140,7 @@
 
     void drop(const WaitingCall &call)
     {
-        const auto calls = this->waiting.find(call.tenant);
+        const auto calls = this->waiting.find(call.customer);
         calls->second.erase(std::pair{this->order.key(call), call.id});
         if (calls->second.empty()) {
             this->waiting.erase(calls);
@@ -149,7 +149,7 @@
         --this->waitingCount;
     }
 
-    TenantId nextTenant(const FairCounters &fairness) const
+    CustomerId nextCustomer(const FairCounters &fairness) const
     {
         const auto next =
             std::min_element(this->waiting.begin(), this->waiting.end(), [&](const auto &left, const auto &right) {
@@ -161,7 +161,7 @@
         return next->first;
     }
 
-    TenantId mostWaiting(const FairCounters &fairness) const
+    CustomerId mostWaiting(const FairCounters &fairness) const
     {
         const auto most =
             std::max_element(this->waiting.begin(), this->waiting.end(), [&](const auto &left, const auto &right) {
@@ -171,9 +171,9 @@
         return most->first;
     }
 
-    std::uint64_t newestOf(const TenantId &tenant) const
+    std::uint64_t newestOf(const CustomerId &customer) const
     {
-        const Calls &calls = this->waiting.at(tenant);
+        const Calls &calls = this->waiting.at(customer);
         const auto newest = std::max_element(calls.begin(), calls.end(), [](const auto &left, const auto &right) {
             return std::pair{left.second.arrived, left.first.second}
             < std::pair{right.second.arrived, right.first.second};
@@ -181,11 +181,11 @@
         return newest->first.second;
     }
 
-    Order order; ///< Within a tenant, or among all calls.
-    std::map<TenantId, Calls> waiting; ///< No tenant with an empty queue.
+    Order order; ///< Within a customer, or among all calls.
+    std::map<CustomerId, Calls> waiting; ///< No customer with an empty queue.
     std::map<std::uint64_t, WaitingCall> running; ///< In flight, by id.
-    std::map<std::uint64_t, TenantId> tenantOf; ///< Of all calls that wait or run.
-    std::size_t waitingCount = 0; ///< Of all tenants.
+    std::map<std::uint64_t, CustomerId> customerOf; ///< Of all calls that wait or run.
+    std::size_t waitingCount = 0; ///< Of all customers.
     double waitingTokensSum = 0; ///< Of all waiting calls.
     double runningTokensSum = 0; ///< Of all running calls.
     bool isolatedRuns = false; ///< The one call in flight is isolated.
--- a/src/policy/fair_counter_base.h
+++ b/src/policy/fair_counter_base.h
@@ -1,4 +1,4 @@
-/** @file fair_counter_base.h  Virtual token counters: the tenant with the least service by weight goes first. */
+/** @file fair_counter_base.h  Virtual token counters: the customer with the least service by weight goes first. */
 #pragma once
 
 #include <algorithm>
@@ -10,24 +10,24 @@
 namespace Chestnuthook
 {
 
-/** Invariant: among tenants that have work all the time, counters differ by at most the largest call over the weight.
- * A tenant that was idle begins at the least counter of the active ones, so idle time earns nothing. */
+/** Invariant: among customers that have work all the time, counters differ by at most the largest call over the weight.
+ * A customer that was idle begins at the least counter of the active ones, so idle time earns nothing. */
 class FairCounters
 {
 public:
-    void setWeight(const TenantId &tenant, double weight)
+    void setWeight(const CustomerId &customer, double weight)
     {
-        this->rows[tenant].weight = std::max(weight, MinWeight);
+        this->rows[customer].weight = std::max(weight, MinWeight);
     }
 
-    /** One more call of @p tenant waits or runs. */
-    void enter(const TenantId &tenant)
+    /** One more call of @p customer waits or runs. */
+    void enter(const CustomerId &customer)
     {
-        Row &row = this->rows[tenant];
+        Row &row = this->rows[customer];
         if (row.active++ == 0) {
             double least = std::numeric_limits<double>::infinity();
             for (const auto &[id, other] : this->rows) {
-                if (other.active > 0 && id != tenant) {
+                if (other.active > 0 && id != customer) {
                     least = std::min(least, other.counter);
                 }
             }
@@ -37,28 +37,28 @@
         }
     }
 
-    /** A call of @p tenant has ended or left the queue. */
-    void leave(const TenantId &tenant)
+    /** A call of @p customer has ended or left the queue. */
+    void leave(const CustomerId &customer)
     {
-        Row &row = this->rows[tenant];
+        Row &row = this->rows[customer];
         row.active = std::max(0, row.active - 1);
     }
 
     /** Adds service; below zero corrects an estimate that was too high. */
-    void charge(const TenantId &tenant, double tokens)
+    void charge(const CustomerId &customer, double tokens)
     {
-        Row &row = this->rows[tenant];
+        Row &row = this->rows[customer];
         row.counter += tokens / row.weight;
     }
 
-    [[nodiscard]] double counter(const TenantId &tenant) const
+    [[nodiscard]] double counter(const CustomerId &customer) const
     {
-        const auto row = this->rows.find(tenant);
+        const auto row = this->rows.find(customer);
         return row == this->rows.end() ? 0 : row->second.counter;
     }
-    [[nodiscard]] double weight(const TenantId &tenant) const
+    [[nodiscard]] double weight(const CustomerId &customer) const
     {
-        const auto row = this->rows.find(tenant);
+        const auto row = this->rows.find(customer);
         return row == this->rows.end() ? 1 : row->second.weight;
     }
 
@@ -70,7 +70,7 @@
         double counter = 0; ///< Tokens served, over the weight.
         int active = 0; ///< Calls that wait or run.
     };
-    std::map<TenantId, Row> rows; ///< By tenant; declared ones only, so bounded.
+    std::map<CustomerId, Row> rows; ///< By customer; declared ones only, so bounded.
 };
 
 } // namespace Chestnuthook
--- a/src/policy/queue_order_func.h
+++ b/src/policy/queue_order_func.h
@@ -14,7 +14,7 @@
 struct WaitingCall
 {
     std::uint64_t id = 0; ///< Of the asker; unique in its queue.
-    TenantId tenant; ///< For fairness.
+    CustomerId customer; ///< For fairness.
     double attainedTokens = 0; ///< Service that its program has had.
     double expectedTokens = 0; ///< Prefill that is not cached, and decode.
     Instant arrived; ///< When it came to the queue.
--- a/src/program/journal_cmd.cpp
+++ b/src/program/journal_cmd.cpp
@@ -139,7 +139,7 @@
         return fail(ErrorKind::BadRequest, "the program is not of this slot");
     }
     if (const ProgramRecord *known = this->find(program.id)) {
-        if (known->tenant == program.tenant && known->requestId == program.requestId
+        if (known->customer == program.customer && known->requestId == program.requestId
             && known->parent == program.parent) {
             return {};
         }
--- a/src/program/program_type.cpp
+++ b/src/program/program_type.cpp
@@ -94,7 +94,7 @@
 void writeProgram(Wire::Program::Builder builder, const ProgramRecord &program)
 {
     builder.setId(wireText(program.id.text));
-    builder.setTenant(wireText(program.tenant.text));
+    builder.setTenant(wireText(program.customer.text));
     builder.setParent(wireText(program.parent.text));
     writeIds(builder.initChildren(static_cast<unsigned>(program.children.size())), program.children);
     writeBudget(builder.initBudget(), program.budget);
@@ -114,7 +114,7 @@
 {
     ProgramRecord program;
     program.id = ProgramId{textOf(reader.getId())};
-    program.tenant = TenantId{textOf(reader.getTenant())};
+    program.customer = CustomerId{textOf(reader.getTenant())};
     program.parent = ProgramId{textOf(reader.getParent())};
     program.children = readIds<ProgramId>(reader.getChildren());
     program.budget = readBudget(reader.getBudget());
--- a/src/program/program_type.h
+++ b/src/program/program_type.h
@@ -52,7 +52,7 @@
 struct ProgramRecord
 {
     ProgramId id; ///< Its slot is slotOf(id).
-    TenantId tenant; ///< Only this tenant's keys reach it.
+    CustomerId customer; ///< Only this customer's keys reach it.
     ProgramId parent; ///< Empty at a root.
     std::vector<ProgramId> children; ///< Sub-agents; ended with it.
     Budget budget; ///< As granted. Invariant: spent <= budget in every part.
--- a/src/timeline/timeline_merge_func.cpp
+++ b/src/timeline/timeline_merge_func.cpp
@@ -17,7 +17,7 @@
 using Pair = std::pair<std::string, std::string>;
 
 constexpr std::array<std::string_view, 2> ProgramLinks = {"attempt", "fingerprint"};
-constexpr std::array<std::string_view, 3> TenantLinks = {"program", "attempt", "fingerprint"};
+constexpr std::array<std::string_view, 3> CustomerLinks = {"program", "attempt", "fingerprint"};
 constexpr std::array<std::string_view, 1> EndpointLinks = {"attempt"};
 
 /** Follows one value: an event belongs to it when it holds a known pair; its own links then become known. */
@@ -114,14 +114,14 @@
     if (!filter.program.empty()) {
         kept = keep(kept, {{"program", filter.program}}, ProgramLinks);
     }
-    if (!filter.tenant.empty()) {
-        kept = keep(kept, {{"tenant", filter.tenant}}, TenantLinks);
+    if (!filter.customer.empty()) {
+        kept = keep(kept, {{"tenant", filter.customer}}, CustomerLinks);
     }
     if (!filter.endpoint.empty()) {
         kept = keep(kept, {{"endpoint", filter.endpoint}}, EndpointLinks);
     }
     if (!filter.keyId.empty()) {
-        kept = keep(kept, {{"key", filter.keyId}, {"key_id", filter.keyId}}, TenantLinks);
+        kept = keep(kept, {{"key", filter.keyId}, {"key_id", filter.keyId}}, CustomerLinks);
     }
     return kept;
 }
--- a/src/timeline/timeline_type.h
+++ b/src/timeline/timeline_type.h
@@ -39,7 +39,7 @@
 struct TimelineFilter
 {
     std::string program; ///< With its attempts and its sub-agents.
-    std::string tenant; ///< With its programs and their attempts.
+    std::string customer; ///< With its programs and their attempts.
     std::string endpoint; ///< With its attempts.
     std::string keyId; ///< With the programs that came with it.
 };
--- a/tests/process/admission_test.cpp
+++ b/tests/process/admission_test.cpp
@@ -1,5 +1,5 @@
-/** @file admission_test.cpp  A tenant's rate and burst over all entries of a real fleet, also while entries die, stand
- * still and join. */
+/** @file admission_test.cpp  A customer's rate and burst over all entries of a real fleet, also while entries die,
+ * stand still and join. */
 #define BOOST_TEST_MODULE admission
 #include <boost/test/unit_test.hpp>
 
@@ -17,7 +17,7 @@
 
 using Clock = std::chrono::steady_clock;
 
-constexpr double Rate = 5; // Of the tenants below in deploy/kortagatt.yaml.
+constexpr double Rate = 5; // Of the customers below in deploy/kortagatt.yaml.
 constexpr double Burst = 15;
 
 /** A request that was let through: that happened between these times. */
@@ -128,21 +128,21 @@
 BOOST_AUTO_TEST_CASE(the_bound_holds_and_service_resumes_while_entries_die_stand_still_and_join)
 {
     ProcessFleet fleet(sizeOf(4));
-    // Tenants whose slots different entries own, so that some lose their owner with each fault.
-    std::vector<std::unique_ptr<Callers>> tenants;
-    for (const char *tenant : {"nordurkort", "sumarkort", "fjallaprent", "heklukort"}) {
-        tenants.push_back(std::make_unique<Callers>(fleet, fleet.issueKey(tenant), 1));
+    // Customers whose slots different entries own, so that some lose their owner with each fault.
+    std::vector<std::unique_ptr<Callers>> customers;
+    for (const char *customer : {"nordurkort", "sumarkort", "fjallaprent", "heklukort"}) {
+        customers.push_back(std::make_unique<Callers>(fleet, fleet.issueKey(customer), 1));
     }
     const auto progress = [&](std::size_t more) {
         std::vector<std::size_t> wanted;
-        wanted.reserve(tenants.size());
-        for (const auto &callers : tenants) {
+        wanted.reserve(customers.size());
+        for (const auto &callers : customers) {
             wanted.push_back(callers->count() + more);
         }
         return waitUntil(
             [&]() {
-                for (std::size_t i = 0; i < tenants.size(); ++i) {
-                    if (tenants[i]->count() < wanted[i]) {
+                for (std::size_t i = 0; i < customers.size(); ++i) {
+                    if (customers[i]->count() < wanted[i]) {
                         return false;
                     }
                 }
@@ -160,7 +160,7 @@
     BOOST_TEST(progress(10));
     fleet.startEntry(2);
     BOOST_TEST(progress(10));
-    for (const auto &callers : tenants) {
+    for (const auto &callers : customers) {
         callers->stop();
         BOOST_TEST(callers->worstExcess() <= 0.0);
         BOOST_TEST(callers->untrue == 0);
--- a/tests/process/control_test.cpp
+++ b/tests/process/control_test.cpp
@@ -90,7 +90,7 @@
         HttpAnswer again;
         waitUntil([&, path = call, at = first.first]() {
             again = fleet.ask(at, "POST", path, ModelCall);
-            return again.status != 429; // A resend counts within the tenant's rate.
+            return again.status != 429; // A resend counts within the customer's rate.
         });
         BOOST_TEST(again.body == first.second, call << " gave " << again.body);
     }
--- a/tests/process/ctl_test.cpp
+++ b/tests/process/ctl_test.cpp
@@ -25,7 +25,7 @@
     return std::string(std::getenv("CHESTNUTHOOK_SOURCE")) + "/" + path;
 }
 
-/** Writes an overlay that sets the rate of one tenant. */
+/** Writes an overlay that sets the rate of one customer. */
 std::string overlay(const ProcessFleet &fleet, const std::string &name, int rate)
 {
     std::string path = fleet.folder + "/" + name + ".yaml";
@@ -124,10 +124,10 @@
         BOOST_TEST(contains(status.output, part), status.output);
     }
     BOOST_TEST(!contains(fleet.ctl({"status"}).output, "\x1b["));
-    const CommandResult programs = fleet.ctl({"--output=json", "programs", fleet.tenant});
+    const CommandResult programs = fleet.ctl({"--output=json", "programs", fleet.customer});
     BOOST_TEST(contains(programs.output, R"("id":")" + program + "\""), programs.output);
     BOOST_TEST(!contains(fleet.ctl({"programs", "derwentmelt"}).output, program));
-    const CommandResult issued = fleet.ctl({"--output=json", "--note=press office", "keys", "issue", fleet.tenant});
+    const CommandResult issued = fleet.ctl({"--output=json", "--note=press office", "keys", "issue", fleet.customer});
     BOOST_TEST(contains(issued.output, R"("key":"chk-)"), issued.output);
     const CommandResult keys = fleet.ctl({"--output=json", "keys", "list"});
     BOOST_TEST(contains(keys.output, R"("state":"active","note":"press office")"), keys.output);
@@ -140,7 +140,7 @@
 BOOST_AUTO_TEST_CASE(a_resent_keys_issue_never_prints_a_key_that_the_fleet_does_not_hold)
 {
     ProcessFleet fleet;
-    const std::vector<std::string> issue = {"--request_id=autumn", "keys", "issue", fleet.tenant};
+    const std::vector<std::string> issue = {"--request_id=autumn", "keys", "issue", fleet.customer};
     const CommandResult first = fleet.ctl(issue);
     BOOST_TEST(contains(first.output, "key chk-"), first.output);
     const CommandResult resent = fleet.ctl(issue);
--- a/tests/process/freshness_test.cpp
+++ b/tests/process/freshness_test.cpp
@@ -32,7 +32,7 @@
     ProcessFleet fleet(threeControls());
     ControlProbe probe(fleet);
     const std::size_t isolated = probe.leader(); // Both entries and the operator's tool follow it.
-    const std::string issued = fleet.ctl({"keys", "issue", fleet.tenant}).output;
+    const std::string issued = fleet.ctl({"keys", "issue", fleet.customer}).output;
     const std::string id = issued.substr(3, issued.find('\n') - 3);
     const std::size_t at = issued.find("key chk-") + 4;
     const std::string key = issued.substr(at, issued.find('\n', at) - at);
@@ -71,7 +71,7 @@
     size.engineFlags = {"--token_ms=1500"}; // An answer has eight tokens or more: twelve seconds.
     ProcessFleet fleet(size);
     ControlProbe probe(fleet);
-    const std::string issued = fleet.ctl({"keys", "issue", fleet.tenant}).output;
+    const std::string issued = fleet.ctl({"keys", "issue", fleet.customer}).output;
     const std::string id = issued.substr(3, issued.find('\n') - 3);
     const std::size_t at = issued.find("key chk-") + 4;
     const std::string key = issued.substr(at, issued.find('\n', at) - at);
--- a/tests/process/load_test.cpp
+++ b/tests/process/load_test.cpp
@@ -28,7 +28,7 @@
     std::ofstream(folder + "/fleet.env") << "ENTRIES=" << joined(fleet.entryAddresses)
                                          << "\nENGINES=" << joined(fleet.engineAddresses)
                                          << "\nSERVICES=" << joined(fleet.serviceAddresses) << "\nMODEL=" << fleet.model
-                                         << "\nSERVICE=" << fleet.service << "\nKEY_" << fleet.tenant << "="
+                                         << "\nSERVICE=" << fleet.service << "\nKEY_" << fleet.customer << "="
                                          << fleet.key << "\n";
     std::ofstream(folder + "/pids") << "engine-2 " << fleet.processes.at("engine-1")->pid << "\n";
 }
--- a/tests/process/security_test.cpp
+++ b/tests/process/security_test.cpp
@@ -157,11 +157,11 @@
     const CommandResult wrong = runCommand("chestnuthook-ctl",
         {"--controls=" + fleet.controlAddresses[0], "keys", "list"}, {"CHESTNUTHOOK_SECRET=another secret"});
     BOOST_TEST(wrong.exitCode != 0);
-    BOOST_TEST(!contains(wrong.output, fleet.tenant), wrong.output);
+    BOOST_TEST(!contains(wrong.output, fleet.customer), wrong.output);
     RawConnection stranger(fleet.controlAddresses[0]);
     stranger.send("GET / HTTP/1.1\r\n\r\n" + std::string(64, '\xff'));
     stranger.endSending();
-    BOOST_TEST(!contains(stranger.readAll(), fleet.tenant));
+    BOOST_TEST(!contains(stranger.readAll(), fleet.customer));
     ControlLoop loop("another secret", "stranger");
     for (const std::string &address : {fleet.controlAddresses[0], fleet.entryRpcAddresses[0]}) {
         RpcLink link(loop.rpc(), address);
--- a/tests/support/process_fleet.cpp
+++ b/tests/support/process_fleet.cpp
@@ -243,7 +243,7 @@
     : size(std::move(wanted))
 {
     const bool verse = this->size.site == "kortagatt";
-    this->tenant = verse ? "bjarkaprent" : "tamarbond";
+    this->customer = verse ? "bjarkaprent" : "tamarbond";
     this->model = verse ? "verse" : "order";
     this->service = verse ? "print" : "dispatch";
     std::string pattern = (std::filesystem::temp_directory_path() / "chestnuthook-fleet-XXXXXX").string();
@@ -290,7 +290,7 @@
     for (std::size_t i = 0; i < this->entryAddresses.size(); ++i) {
         this->startEntry(i);
     }
-    this->key = this->issueKey(this->tenant);
+    this->key = this->issueKey(this->customer);
     for (std::size_t i = 0; i < this->entryAddresses.size(); ++i) {
         const std::string &address = this->entryAddresses[i];
         if (!waitUntil([&]() {
@@ -406,9 +406,9 @@
     return runCommand("chestnuthook-ctl", std::move(arguments));
 }
 
-std::string ProcessFleet::issueKey(const std::string &forTenant) const
+std::string ProcessFleet::issueKey(const std::string &forCustomer) const
 {
-    const CommandResult issued = this->ctl({"keys", "issue", forTenant});
+    const CommandResult issued = this->ctl({"keys", "issue", forCustomer});
     const std::size_t at = issued.output.find("key chk-");
     if (issued.exitCode != 0 || at == std::string::npos) {
         throw std::runtime_error("no key: " + issued.output);
--- a/tests/support/process_fleet.h
+++ b/tests/support/process_fleet.h
@@ -100,10 +100,10 @@
     std::string basePath() const;
     std::string sitePath() const;
 
-    /** Issues a key for @p tenant; throws where that fails. */
-    std::string issueKey(const std::string &tenant) const;
+    /** Issues a key for @p customer; throws where that fails. */
+    std::string issueKey(const std::string &customer) const;
 
-    /** A request to entry @p index as the site's first tenant. */
+    /** A request to entry @p index as the site's first customer. */
     HttpAnswer ask(std::size_t index, const std::string &method, const std::string &path, const std::string &body = "",
         Headers headers = {}) const;
 
@@ -115,10 +115,10 @@
 
     const FleetSize size; ///< As asked for.
     std::string folder; ///< Data, logs and secret.
-    std::string tenant; ///< First tenant of the site.
+    std::string customer; ///< First customer of the site.
     std::string model; ///< Model of the site.
     std::string service; ///< Service of the site.
-    std::string key; ///< Key of the first tenant.
+    std::string key; ///< Key of the first customer.
     std::vector<std::string> controlAddresses; ///< ip:port by index.
     std::vector<std::string> entryAddresses; ///< For callers.
     std::vector<std::string> entryRpcAddresses; ///< For other entries.
--- a/tests/support/program_call.h
+++ b/tests/support/program_call.h
@@ -51,7 +51,7 @@
 /** Sends a request, waits until it has reached an endpoint of the fleet, and closes the connection unread. */
 void abandonRequest(const ProcessFleet &fleet, std::size_t entry, const std::string &path, const std::string &body);
 
-/** Gives all tenants of the site a rate that no test meets. */
+/** Gives all customers of the site a rate that no test meets. */
 void liftRates(const ProcessFleet &fleet);
 
 } // namespace Chestnuthook::Testing
--- a/tests/unit/admission_simulation_test.cpp
+++ b/tests/unit/admission_simulation_test.cpp
@@ -1,5 +1,5 @@
-/** @file admission_simulation_test.cpp  The fleet-wide bound on a tenant's requests under owner kill, pause, isolation
- * and slot moves at once: real fleet state, lease keeper and buckets in virtual time, with fixed seeds. */
+/** @file admission_simulation_test.cpp  The fleet-wide bound on a customer's requests under owner kill, pause,
+ * isolation and slot moves at once: real fleet state, lease keeper and buckets in virtual time, with fixed seeds. */
 #define BOOST_TEST_MODULE admission_simulation
 #include <boost/test/unit_test.hpp>
 
@@ -51,7 +51,7 @@
         : random(seed)
         , rules(rules)
     {
-        this->tenant = TenantDeclaration{TenantId{"tamarbond"}, 40, 80, 1};
+        this->customer = CustomerDeclaration{CustomerId{"tamarbond"}, 40, 80, 1};
         for (int i = 0; i < 4; ++i) {
             this->join();
         }
@@ -87,17 +87,17 @@
         double worst = 0;
         double lowest = 0; // Of (index - rate * time) over earlier starts of the window.
         for (std::size_t i = 0; i < sorted.size(); ++i) {
-            const double earned = this->tenant.ratePerSecond * static_cast<double>(sorted[i].us) / 1e6;
+            const double earned = this->customer.ratePerSecond * static_cast<double>(sorted[i].us) / 1e6;
             const double here = static_cast<double>(i) - earned;
             lowest = i == 0 ? here : std::min(lowest, here);
-            worst = std::max(worst, here + 1 - lowest - this->tenant.burst);
+            worst = std::max(worst, here + 1 - lowest - this->customer.burst);
         }
         return worst;
     }
 
     std::vector<Instant> used; ///< When requests were let through, at any entry.
     int refused = 0; ///< Requests over the rate.
-    int moves = 0; ///< Changes of the tenant's owner.
+    int moves = 0; ///< Changes of the customer's owner.
     double offeredPerSecond = 120; ///< By all callers together.
 
 private:
@@ -136,7 +136,7 @@
     }
     EntryId ownerNow() const
     {
-        const SlotRecord *record = this->fleet.slots.find(slotOf(this->tenant.id.text));
+        const SlotRecord *record = this->fleet.slots.find(slotOf(this->customer.id.text));
         return record == nullptr ? EntryId{} : record->owner;
     }
 
@@ -210,14 +210,14 @@
     {
         const SlotFacts facts{successor->id, &successor->slots, successor->leased};
         for (const WantedHandover &wanted : successor->owner.tenures.wanted(facts, this->now)) {
-            if (wanted.slot != slotOf(this->tenant.id.text)) {
+            if (wanted.slot != slotOf(this->customer.id.text)) {
                 continue;
             }
             for (const EntryPointer &former : this->entries) {
                 if (former->id == wanted.former && this->now >= successor->isolatedUntil) {
                     this->inEntry(this->now + this->latency(), former, true, [this, former, successor, wanted]() {
                         const auto levels =
-                            former->owner.giveUp(wanted.slot, wanted.formerEpoch, {this->tenant}, this->now);
+                            former->owner.giveUp(wanted.slot, wanted.formerEpoch, {this->customer}, this->now);
                         if (levels) {
                             this->inEntry(this->now + this->latency(), successor, true, [=, this]() {
                                 successor->owner.adopt(wanted, *levels, this->now);
@@ -266,7 +266,7 @@
         if (asker->freshUntil <= this->now || asker->slots.empty()) {
             return;
         }
-        const EntryId owner = asker->slots[slotOf(this->tenant.id.text).value].owner;
+        const EntryId owner = asker->slots[slotOf(this->customer.id.text).value].owner;
         if (this->rules == Rules::BucketPerEntry) {
             this->askOwnBucket(asker);
             return;
@@ -278,7 +278,7 @@
             }
             const bool remote = entry != asker;
             this->inEntry(this->now + (remote ? this->latency() : Duration(0)), entry, remote, [=, this]() {
-                const AdmitVerdict verdict = entry->owner.admit(this->tenant, 1, this->now, entry->freshUntil);
+                const AdmitVerdict verdict = entry->owner.admit(this->customer, 1, this->now, entry->freshUntil);
                 this->inEntry(this->now + (remote ? this->latency() : Duration(0)), asker, remote, [=, this]() {
                     this->take(asker, verdict, askedAt);
                 });
@@ -307,7 +307,7 @@
     void askOwnBucket(const EntryPointer &asker)
     {
         const auto [bucket, added] = this->ownBuckets.try_emplace(asker->id, this->now);
-        bucket->second.declare(this->tenant.ratePerSecond, this->tenant.burst, this->now);
+        bucket->second.declare(this->customer.ratePerSecond, this->customer.burst, this->now);
         if (added) {
             bucket->second.fill();
         }
@@ -316,7 +316,7 @@
         }
     }
 
-    /** Strikes the tenant's owner mostly, and often a second entry at the same time. */
+    /** Strikes the customer's owner mostly, and often a second entry at the same time. */
     void fault()
     {
         const bool twice = nextRandom(this->random) % 3 == 0;
@@ -359,7 +359,7 @@
     std::uint64_t random; ///< State of the generator.
     Rules rules; ///< Of the run.
     Instant now; ///< Virtual time.
-    TenantDeclaration tenant; ///< The one that is watched.
+    CustomerDeclaration customer; ///< The one that is watched.
     FleetState fleet; ///< As committed.
     LeaseKeeper leases; ///< Of the leader.
     std::vector<EntryPointer> entries; ///< Those not killed.
--- a/tests/unit/admission_tenure_test.cpp
+++ b/tests/unit/admission_tenure_test.cpp
@@ -89,8 +89,8 @@
 
 BOOST_AUTO_TEST_CASE(a_planned_move_hands_the_level_over)
 {
-    const TenantDeclaration tenant{TenantId{"t"}, 10, 20, 1};
-    const SlotId slot = slotOf(tenant.id.text);
+    const CustomerDeclaration customer{CustomerId{"t"}, 10, 20, 1};
+    const SlotId slot = slotOf(customer.id.text);
     std::vector<SlotRecord> slots(SlotCount);
     BucketOwner before;
     BucketOwner after;
@@ -98,33 +98,33 @@
     before.update(SlotFacts{Other, &slots, {Self, Other}}, Instant(0));
     after.update(SlotFacts{Self, &slots, {Self, Other}}, Instant(0));
     const Instant lease(60'000'000);
-    const std::size_t granted = before.admit(tenant, 1000, Instant(0), lease).delays.size();
+    const std::size_t granted = before.admit(customer, 1000, Instant(0), lease).delays.size();
     BOOST_TEST(granted == 17U + 20U); // 20 less what is earned in GrantLife, and two seconds ahead.
     slots[slot.value] = SlotRecord{Self, Epoch{9}, Other, Epoch{5}};
     const SlotFacts facts{Self, &slots, {Self, Other}};
     after.update(facts, Instant(1'000'000));
-    BOOST_TEST((after.admit(tenant, 1, Instant(1'000'000), lease).state == AdmitState::NotYet));
+    BOOST_TEST((after.admit(customer, 1, Instant(1'000'000), lease).state == AdmitState::NotYet));
     const auto wanted = after.tenures.wanted(facts, Instant(1'000'000));
     BOOST_REQUIRE(wanted.size() == 1U);
-    const auto levels = before.giveUp(slot, Epoch{5}, {tenant}, Instant(1'000'000));
+    const auto levels = before.giveUp(slot, Epoch{5}, {customer}, Instant(1'000'000));
     BOOST_REQUIRE(levels.has_value());
     after.adopt(wanted[0], *levels, Instant(1'000'000));
-    BOOST_TEST((before.admit(tenant, 1, Instant(1'000'000), lease).state == AdmitState::NotOwner));
+    BOOST_TEST((before.admit(customer, 1, Instant(1'000'000), lease).state == AdmitState::NotOwner));
     // Two seconds were reserved ahead, one has passed: one more second may be reserved.
-    BOOST_TEST(after.admit(tenant, 1000, Instant(1'000'000), lease).delays.size() == 10U);
+    BOOST_TEST(after.admit(customer, 1000, Instant(1'000'000), lease).delays.size() == 10U);
 }
 
 BOOST_AUTO_TEST_CASE(nothing_is_granted_that_falls_due_after_the_lease)
 {
-    const TenantDeclaration tenant{TenantId{"t"}, 10, 20, 1};
+    const CustomerDeclaration customer{CustomerId{"t"}, 10, 20, 1};
     std::vector<SlotRecord> slots(SlotCount);
     slots[slotOf("t").value] = SlotRecord{Self, Epoch{5}, {}, Epoch{}};
     BucketOwner owner;
     owner.update(SlotFacts{Self, &slots, {Self}}, Instant(0));
-    const AdmitVerdict verdict = owner.admit(tenant, 1000, Instant(0), Instant(500'000));
+    const AdmitVerdict verdict = owner.admit(customer, 1000, Instant(0), Instant(500'000));
     BOOST_TEST(verdict.delays.size() == 17U + 5U);
     BOOST_TEST((verdict.delays.back() <= Duration(500'000)));
-    BOOST_TEST((owner.admit(tenant, 1, Instant(600'000), Instant(500'000)).state == AdmitState::NotYet));
+    BOOST_TEST((owner.admit(customer, 1, Instant(600'000), Instant(500'000)).state == AdmitState::NotYet));
 }
 
 BOOST_AUTO_TEST_CASE(a_lease_whose_end_was_proposed_is_not_renewed_but_a_later_one_is)
--- a/tests/unit/declaration_test.cpp
+++ b/tests/unit/declaration_test.cpp
@@ -253,10 +253,10 @@
 
 BOOST_AUTO_TEST_CASE(numbers_that_are_not_given_have_their_standard_value)
 {
-    const auto tenant = parseTenant("a", R"({"rate":2.5,"burst":7})");
-    BOOST_REQUIRE(tenant.has_value());
-    BOOST_TEST(tenant->ratePerSecond == 2.5);
-    BOOST_TEST(tenant->weight == 1);
+    const auto customer = parseCustomer("a", R"({"rate":2.5,"burst":7})");
+    BOOST_REQUIRE(customer.has_value());
+    BOOST_TEST(customer->ratePerSecond == 2.5);
+    BOOST_TEST(customer->weight == 1);
     const auto site = parseSite("{}");
     BOOST_REQUIRE(site.has_value());
     BOOST_TEST(site->defaultCalls == 88U);
@@ -264,8 +264,8 @@
     const auto pool = parsePool("p", R"({"model":"verse","replicas":{"dc1":4,"dc2":3}})");
     BOOST_REQUIRE(pool.has_value());
     BOOST_TEST(pool->replicas.at(DataCentreId{"dc2"}) == 3U);
-    BOOST_TEST(!parseTenant("a", "[]").has_value());
-    BOOST_TEST(!parseTenant("a", "{").has_value());
+    BOOST_TEST(!parseCustomer("a", "[]").has_value());
+    BOOST_TEST(!parseCustomer("a", "{").has_value());
 }
 
 BOOST_AUTO_TEST_CASE(a_route_opens_its_paths_and_methods_and_nothing_else)
--- a/tests/unit/fleet_test.cpp
+++ b/tests/unit/fleet_test.cpp
@@ -48,12 +48,12 @@
     };
 }
 
-Fill issueOf(const std::string &id, const std::string &tenant)
+Fill issueOf(const std::string &id, const std::string &customer)
 {
     return [=](Wire::FleetCommand::Builder command) {
         auto key = command.initIssueKey();
         key.setId(id);
-        key.setTenant(tenant);
+        key.setTenant(customer);
         key.setHash(dataOf(std::string(HashBytes, id[0])));
     };
 }
@@ -84,8 +84,8 @@
     };
 }
 
-/** A state with the tenant `one` at revision 1, after index 1. */
-FleetState stateWithTenant()
+/** A state with the customer `one` at revision 1, after index 1. */
+FleetState stateWithCustomer()
 {
     FleetState state;
     const std::string reply = state.apply(1, commandOf(applyOf(0, "tenants", "one", R"({"rate":5,"burst":5})")));
@@ -130,7 +130,7 @@
 
 BOOST_AUTO_TEST_CASE(of_equal_expected_revisions_one_wins_and_the_loser_learns_the_current_one)
 {
-    FleetState state = stateWithTenant();
+    FleetState state = stateWithCustomer();
     BOOST_TEST(codeOf(state.apply(2, commandOf(applyOf(1, "services", "a", "{}")))).empty());
     const std::string lost = state.apply(3, commandOf(applyOf(1, "services", "b", "{}")));
     BOOST_TEST(codeOf(lost) == "stale_revision");
@@ -142,7 +142,7 @@
 
 BOOST_AUTO_TEST_CASE(a_resend_gets_the_first_answer_also_after_a_snapshot_and_changes_nothing)
 {
-    FleetState state = stateWithTenant();
+    FleetState state = stateWithCustomer();
     const std::string command = commandOf(applyOf(1, "services", "a", "{}"), "request-1");
     const std::string first = state.apply(2, command);
     BOOST_TEST(state.apply(3, command) == first);
@@ -154,11 +154,11 @@
 
 BOOST_AUTO_TEST_CASE(a_withdrawal_is_final)
 {
-    FleetState state = stateWithTenant();
+    FleetState state = stateWithCustomer();
     BOOST_TEST(codeOf(state.apply(2, commandOf(issueOf("k", "one")))).empty());
     BOOST_TEST(codeOf(state.apply(3, commandOf(withdrawOf("k")))).empty());
     BOOST_TEST(codeOf(state.apply(4, commandOf(issueOf("k", "one")))) == "conflict"); // Not by issuing it again,
-    state.apply(5, commandOf(applyOf(1, "tenants", "one", ""))); // nor by removing its tenant
+    state.apply(5, commandOf(applyOf(1, "tenants", "one", ""))); // nor by removing its customer
     state.apply(6, commandOf(applyOf(2, "tenants", "one", R"({"rate":5,"burst":5})"))); // and bringing it back.
     BOOST_TEST(state.keys.find(KeyId{"k"})->withdrawn);
     FleetState restored;
@@ -207,7 +207,7 @@
 BOOST_AUTO_TEST_CASE(copies_that_look_in_at_any_time_equal_the_state_also_across_pruned_gaps)
 {
     std::mt19937_64 random(4);
-    FleetState state = stateWithTenant();
+    FleetState state = stateWithCustomer();
     FleetState near;
     FleetState far;
     std::uint64_t index = 1;
@@ -243,7 +243,7 @@
     }
     follow(far, state); // Its index lies before the pruned tombstones.
     BOOST_TEST(equal(far, state));
-    FleetState late = stateWithTenant();
+    FleetState late = stateWithCustomer();
     follow(late, state);
     BOOST_TEST(equal(late, state));
     FleetState restored;
@@ -258,7 +258,7 @@
 
 BOOST_AUTO_TEST_CASE(a_copy_never_moves_to_an_older_state)
 {
-    FleetState state = stateWithTenant();
+    FleetState state = stateWithCustomer();
     capnp::MallocMessageBuilder message;
     auto old = message.initRoot<Wire::FleetDelta>();
     state.writeDelta(0, old);
--- a/tests/unit/fleet_view_test.cpp
+++ b/tests/unit/fleet_view_test.cpp
@@ -19,7 +19,7 @@
 constexpr int Names = 12;
 constexpr int Steps = 600;
 
-/** A random command on a small set of tenants, keys and entries. */
+/** A random command on a small set of customers, keys and entries. */
 std::string randomCommand(std::mt19937 &random, std::uint64_t revision)
 {
     const std::string number = std::to_string(random() % Names);
@@ -30,12 +30,12 @@
         auto apply = command.initApply();
         apply.setExpectedRevision(revision);
         auto change = apply.initChanges(1)[0];
-        const bool tenant = random() % 4 != 0;
-        change.setSection(tenant ? "tenants" : "models");
+        const bool customer = random() % 4 != 0;
+        change.setSection(customer ? "tenants" : "models");
         change.setName("name-" + number);
         const std::string rate = std::to_string(1 + random() % 9);
         const std::string json =
-            tenant ? R"({"rate":)" + rate + R"(,"burst":9})" : R"({"max_tokens":)" + rate + R"(,"timeout_ms":9000})";
+            customer ? R"({"rate":)" + rate + R"(,"burst":9})" : R"({"max_tokens":)" + rate + R"(,"timeout_ms":9000})";
         change.setJson(random() % 3 == 0 ? "" : json);
         break;
     }
@@ -70,10 +70,10 @@
 {
     std::map<std::string, std::string> lines;
     for (const auto &[hash, caller] : view.callers) {
-        lines["caller " + toHex(hash)] = caller.tenant.text + "/" + caller.key.text;
+        lines["caller " + toHex(hash)] = caller.customer.text + "/" + caller.key.text;
     }
-    for (const auto &[id, tenant] : view.tenants) {
-        lines["tenant " + id.text] = std::to_string(tenant.ratePerSecond);
+    for (const auto &[id, customer] : view.customers) {
+        lines["tenant " + id.text] = std::to_string(customer.ratePerSecond);
     }
     for (const auto &[id, model] : view.models) {
         lines["model " + id.text] = std::to_string(model.maxTokens);
--- a/tests/unit/load_test.cpp
+++ b/tests/unit/load_test.cpp
@@ -20,7 +20,7 @@
     arrivals.seed = seed;
     arrivals.programs = 2000;
     arrivals.programsPerSecond = 50;
-    arrivals.tenants = 8;
+    arrivals.customers = 8;
     return arrivals;
 }
 
@@ -58,12 +58,12 @@
     const auto programs = planLoad(*findLoadMix("derwent"), someArrivals(3));
     BOOST_TEST(programs.size() > 900U); // 20 s at 50 a second
     BOOST_TEST(programs.size() < 1100U);
-    std::vector<std::size_t> byTenant(8);
+    std::vector<std::size_t> byCustomer(8);
     for (const LoadProgram &program : programs) {
-        byTenant[program.tenant] += 1;
+        byCustomer[program.customer] += 1;
         BOOST_TEST(program.callBudget >= 1U);
     }
-    BOOST_TEST(byTenant[0] > 2 * byTenant[7]);
+    BOOST_TEST(byCustomer[0] > 2 * byCustomer[7]);
 }
 
 BOOST_AUTO_TEST_CASE(a_schedule_is_read_in_order_and_a_bad_line_is_named)
@@ -122,7 +122,7 @@
     record.addRefusal(1);
     record.check(LoadPromise::Order, false, "program p-9 shows other calls");
     LoadReport report;
-    report.tenantNames = {"one", "two"};
+    report.customerNames = {"one", "two"};
     const auto measures = loadMeasures(report, record);
     BOOST_TEST(measures.at("latency_mean_s") == 4.0);
     BOOST_TEST(measures.at("worst_tenant_finished_share") == 0.5);
--- a/tests/unit/policy_queue_test.cpp
+++ b/tests/unit/policy_queue_test.cpp
@@ -12,10 +12,10 @@
 
 const EndpointId Engine{"127.0.0.1:1"};
 
-WaitingCall callOf(const char *tenant, double attained, std::int64_t arrivedMs, double tokens = 100)
+WaitingCall callOf(const char *customer, double attained, std::int64_t arrivedMs, double tokens = 100)
 {
     WaitingCall call;
-    call.tenant = TenantId{tenant};
+    call.customer = CustomerId{customer};
     call.attainedTokens = attained;
     call.expectedTokens = tokens;
     call.arrived = Instant(arrivedMs * 1000);
@@ -51,13 +51,13 @@
 {
     PermitLedger ledger;
     ledger.setBound(Engine, 1);
-    ledger.fairness.setWeight(TenantId{"big"}, 3);
-    ledger.fairness.setWeight(TenantId{"small"}, 1);
+    ledger.fairness.setWeight(CustomerId{"big"}, 3);
+    ledger.fairness.setWeight(CustomerId{"small"}, 1);
     std::uint64_t next = 1;
-    std::map<std::uint64_t, std::string> tenantOf;
-    const auto add = [&](const char *tenant) {
-        tenantOf[next] = tenant;
-        ledger.ask(Engine, keyOf(next), callOf(tenant, 0, static_cast<std::int64_t>(next)));
+    std::map<std::uint64_t, std::string> customerOf;
+    const auto add = [&](const char *customer) {
+        customerOf[next] = customer;
+        ledger.ask(Engine, keyOf(next), callOf(customer, 0, static_cast<std::int64_t>(next)));
         ++next;
     };
     for (int i = 0; i < 200; ++i) {
@@ -69,7 +69,7 @@
     for (int i = 0; i < 100; ++i) {
         ledger.release(keyOf(running));
         running = ledger.takeGranted().at(0).permit;
-        ++served[tenantOf[running]];
+        ++served[customerOf[running]];
     }
     BOOST_TEST(std::abs(served["big"] - 75) <= 1);
     add("late"); // Was idle all the time; gets its turn soon, but no more than its share.
@@ -80,7 +80,7 @@
     for (int i = 0; i < 10; ++i) {
         ledger.release(keyOf(running));
         running = ledger.takeGranted().at(0).permit;
-        ++served[tenantOf[running]];
+        ++served[customerOf[running]];
     }
     BOOST_TEST(served["late"] >= 1);
     BOOST_TEST(served["late"] <= 3);
@@ -91,8 +91,8 @@
     EndpointQueue<MostAttained> queue(EndpointBounds{1, 4, true});
     FairCounters fairness;
     std::uint64_t id = 1;
-    const auto push = [&](const char *tenant) {
-        WaitingCall call = callOf(tenant, 0, static_cast<std::int64_t>(id));
+    const auto push = [&](const char *customer) {
+        WaitingCall call = callOf(customer, 0, static_cast<std::int64_t>(id));
         call.id = id++;
         return queue.push(call, fairness);
     };
--- a/tests/unit/program_journal_test.cpp
+++ b/tests/unit/program_journal_test.cpp
@@ -69,7 +69,7 @@
         return make([&](auto command) {
             ProgramRecord program;
             program.id = ProgramId{Program};
-            program.tenant = TenantId{"t"};
+            program.customer = CustomerId{"t"};
             program.budget = Budget{CallBudget, TokenBudget, 1000, 2};
             program.requestId = requestId;
             writeProgram(command.initCreate(), program);
--- a/tests/unit/timeline_test.cpp
+++ b/tests/unit/timeline_test.cpp
@@ -23,7 +23,7 @@
     return TimelineEvent{{ms, counter}, ms, process, kind, "info", std::move(fields)};
 }
 
-/** A program with a sub-agent at two entries and an engine's trouble, besides one of another tenant. */
+/** A program with a sub-agent at two entries and an engine's trouble, besides one of another customer. */
 TimelineEvents scene()
 {
     return {
