--- a/bench/model/fleet_model.h
+++ b/bench/model/fleet_model.h
@@ -69,7 +69,7 @@
         , served(given.customers.size(), 0)
     {
         for (std::size_t i = 0; i < how.engines; ++i) {
-            this->hosts.emplace_back(EndpointBounds{EngineShape{}.batch, SIZE_MAX, how.fair}, order);
+            this->hosts.emplace_back(EndpointLimits{EngineShape{}.batch, SIZE_MAX, how.fair}, order);
         }
         for (std::size_t i = 0; i < how.engines; ++i) {
             this->hosts[i].engine.onEvict = [this, i](int program) {
@@ -124,7 +124,7 @@
     };
     struct Host
     {
-        explicit Host(EndpointBounds bounds, Order order)
+        explicit Host(EndpointLimits bounds, Order order)
             : queue(bounds, order)
         {
         }
@@ -238,7 +238,7 @@
         const std::size_t chosen = this->choice.choose(estimates, wanted, this->choiceState);
         const std::size_t host = up[chosen];
         const double uncached = std::max(0.0, call.promptTokens - estimates[chosen].cachedTokens);
-        WaitingCall waiting;
+        QueuedCall waiting;
         waiting.id = call.id;
         waiting.customer =
             CustomerId{this->mix.customers[static_cast<std::size_t>(this->shapeOf(call.program).customer)].name};
@@ -290,7 +290,7 @@
             flight.uncached = flight.call.promptTokens - hit;
             this->measures.recomputed += std::max(0.0, state.computed - hit);
             state.host = static_cast<int>(host);
-            this->index.onRun(
+            this->index.setCachedTokens(
                 hostId(host), idOf(flight.call.program), flight.call.promptTokens + flight.call.outputTokens);
         }
         if (!one.stepping && !one.engine.running.empty()) {
@@ -347,7 +347,7 @@
         PauseStatistics &statistics = this->pauses[static_cast<std::size_t>(turn.service)];
         state.pausedAt = this->now;
         state.pauseOver = false;
-        PauseOutlook outlook;
+        PauseEstimate outlook;
         outlook.expectedSeconds = statistics.expectedSeconds();
         outlook.tokens = state.history;
         outlook.turnoverSeconds =
@@ -363,7 +363,7 @@
             state.exported = decided == Retention::Export ? one.engine.cachedTokens(program) : 0;
             one.engine.drop(program);
             if (decided == Retention::Drop) {
-                this->index.onRun(hostId(static_cast<std::size_t>(state.host)), idOf(program), 0);
+                this->index.setCachedTokens(hostId(static_cast<std::size_t>(state.host)), idOf(program), 0);
             }
         }
         if (turn.helper >= 0) {
@@ -410,7 +410,7 @@
     void evicted(std::size_t host, int program)
     {
         const std::uint64_t sequence = ++this->hosts[host].eventSequence;
-        if (nextUnit(this->random) < this->options.eventLoss) {
+        if (nextUniform(this->random) < this->options.eventLoss) {
             return;
         }
         this->at(this->now + this->options.eventLag, [this, host, program, sequence]() {
--- a/bench/model/program_mix.h
+++ b/bench/model/program_mix.h
@@ -50,12 +50,12 @@
 
 inline double exponential(std::uint64_t &random, double mean)
 {
-    return -mean * std::log(1 - nextUnit(random));
+    return -mean * std::log(1 - nextUniform(random));
 }
 
 inline double between(std::uint64_t &random, double low, double high)
 {
-    return low + (high - low) * nextUnit(random);
+    return low + (high - low) * nextUniform(random);
 }
 
 /** Shape of one deployment's programs. */
@@ -82,7 +82,7 @@
         Turn turn;
         turn.newTokens = (i == 0 ? shape.firstPrompt : shape.newTokens) * between(random, 0.5, 1.5);
         turn.outputTokens = std::max(16.0, exponential(random, shape.outputTokens));
-        const bool person = nextUnit(random) < shape.personShare && !helper;
+        const bool person = nextUniform(random) < shape.personShare && !helper;
         turn.service = person ? 0 : 1;
         turn.pauseSeconds = exponential(random, person ? shape.personPause : shape.servicePause);
         program.turns.push_back(turn);
@@ -108,14 +108,14 @@
         }
         ModelProgram program = makeProgram(random, shape, false);
         program.arrival = now;
-        double pick = nextUnit(random) * shares;
+        double pick = nextUniform(random) * shares;
         while (pick >= customers[static_cast<std::size_t>(program.customer)].arrivalShare) {
             pick -= customers[static_cast<std::size_t>(program.customer++)].arrivalShare;
         }
         const int parent = static_cast<int>(mix.programs.size());
         std::vector<ModelProgram> helpers;
         for (Turn &turn : program.turns) {
-            if (turn.pauseSeconds > 0 && nextUnit(random) < shape.helperShare) {
+            if (turn.pauseSeconds > 0 && nextUniform(random) < shape.helperShare) {
                 turn.helper = parent + 1 + static_cast<int>(helpers.size());
                 helpers.push_back(makeProgram(random, shape, true));
                 helpers.back().arrival = -1;
--- a/bench/policy_bench.cpp
+++ b/bench/policy_bench.cpp
@@ -43,7 +43,7 @@
     return FleetModel<Order, Choice, Keep>(mix, options, order, choice, keep).run();
 }
 
-using OurOrder = MostAttained;
+using OurOrder = MostAttainedService;
 using OurChoice = PredictedCompletion;
 using OurKeep = LeastCost;
 
@@ -64,9 +64,9 @@
     const std::string name = mix.name + ".baseline.";
     printAll(name + "arrival_least_loaded", measure<ArrivalOrder, LeastLoaded, AlwaysHold>(mix, plain), ours);
     printAll(name + "arrival_least_reported", measure<ArrivalOrder, LeastLoaded, AlwaysHold>(mix, reports), ours);
-    printAll(name + "arrival_two_choices", measure<ArrivalOrder, TwoChoices, AlwaysHold>(mix, reports), ours);
-    printAll(name + "arrival_affinity", measure<ArrivalOrder, PerfectAffinity, AlwaysHold>(mix, affinity), ours);
-    printAll(name + "least_attained", measure<LeastAttained, OurChoice, OurKeep>(mix, options), ours);
+    printAll(name + "arrival_two_choices", measure<ArrivalOrder, PowerOfTwoChoices, AlwaysHold>(mix, reports), ours);
+    printAll(name + "arrival_affinity", measure<ArrivalOrder, StrictCacheAffinity, AlwaysHold>(mix, affinity), ours);
+    printAll(name + "least_attained", measure<LeastAttainedService, OurChoice, OurKeep>(mix, options), ours);
     printAll(name + "shortest_first", measure<ShortestFirst, OurChoice, OurKeep>(mix, options), ours);
 }
 
@@ -99,7 +99,7 @@
 {
     const Measures rotation = measure<ArrivalOrder, RoundRobin, AlwaysHold>(mix, baselineOptions(options));
     Options affinityOptions = options;
-    const Measures affinity = measure<OurOrder, PerfectAffinity, OurKeep>(mix, affinityOptions);
+    const Measures affinity = measure<OurOrder, StrictCacheAffinity, OurKeep>(mix, affinityOptions);
     print(mix.name + ".mean_latency_s_against_arrival_round_robin", ours.meanLatency, rotation.meanLatency, 0.5);
     print(mix.name + ".recomputed_tokens_against_round_robin", ours.recomputed, rotation.recomputed, 0.3);
     print(mix.name + ".recomputed_tokens_against_affinity", ours.recomputed, affinity.recomputed, 1.1);
--- a/src/admission/bucket_owner_base.cpp
+++ b/src/admission/customer_rate_limiter_base.cpp
@@ -1,5 +1,5 @@
-/** @file bucket_owner_base.cpp  Granting at the owner of a customer's slot. */
-#include "admission/bucket_owner_base.h"
+/** @file customer_rate_limiter_base.cpp  Granting at the owner of a customer's slot. */
+#include "admission/customer_rate_limiter_base.h"
 
 #include <algorithm>
 
@@ -8,24 +8,24 @@
 namespace Chestnuthook
 {
 
-void BucketOwner::update(const SlotFacts &facts, Instant now)
+void CustomerRateLimiter::update(const SlotFacts &facts, Instant now)
 {
-    this->tenures.update(facts, now);
+    this->slotOwnerships.update(facts, now);
 }
 
-TokenBucket &BucketOwner::bucketOf(const CustomerDeclaration &customer, SlotId slot, Instant now)
+TokenBucket &CustomerRateLimiter::bucketOf(const CustomerDeclaration &customer, SlotId slot, Instant now)
 {
-    const SlotTenure &tenure = this->tenures.at(slot);
+    const SlotOwnership &ownership = this->slotOwnerships.at(slot);
     auto found = this->buckets.find(customer.id);
-    if (found == this->buckets.end() || found->second.epoch != tenure.epoch) {
-        const Instant begin = tenure.grantsFrom.value_or(now);
-        OwnedBucket owned{tenure.epoch, TokenBucket(begin)};
+    if (found == this->buckets.end() || found->second.epoch != ownership.epoch) {
+        const Instant begin = ownership.grantsStartAt.value_or(now);
+        OwnedBucket owned{ownership.epoch, TokenBucket(begin)};
         owned.bucket.declare(customer.ratePerSecond, customer.burst, begin);
-        if (tenure.start == TenureStart::Full) {
+        if (ownership.start == InitialBucketLevel::Full) {
             owned.bucket.fill();
         }
         const auto level = this->adopted.find(customer.id);
-        if (level != this->adopted.end() && level->second.first == tenure.epoch) {
+        if (level != this->adopted.end() && level->second.first == ownership.epoch) {
             owned.bucket.adopt(level->second.second, begin);
         }
         found = this->buckets.insert_or_assign(customer.id, owned).first;
@@ -34,28 +34,30 @@
     return found->second.bucket;
 }
 
-AdmitVerdict BucketOwner::admit(const CustomerDeclaration &customer, std::uint32_t count, Instant now, Instant leaseEnd)
+AdmissionDecision CustomerRateLimiter::admit(
+    const CustomerDeclaration &customer, std::uint32_t count, Instant now, Instant leaseEnd)
 {
     const SlotId slot = slotOf(customer.id.text);
-    AdmitVerdict verdict;
-    const std::optional<Duration> startsIn = this->tenures.startsIn(slot, now);
-    if (!startsIn) {
-        verdict.state = AdmitState::NotOwner;
+    AdmissionDecision verdict;
+    const std::optional<Duration> timeUntilGrants = this->slotOwnerships.timeUntilGrants(slot, now);
+    if (!timeUntilGrants) {
+        verdict.state = AdmissionState::NotOwner;
         return verdict;
     }
-    if (*startsIn > Duration(0) || leaseEnd <= now) {
-        verdict.state = AdmitState::NotYet;
-        verdict.retryAfter = *startsIn;
+    if (*timeUntilGrants > Duration(0) || leaseEnd <= now) {
+        verdict.state = AdmissionState::NotYet;
+        verdict.retryAfter = *timeUntilGrants;
         return verdict;
     }
     TokenBucket &bucket = this->bucketOf(customer, slot, now);
-    const Duration maxDelay = std::min(RateHoldBound, leaseEnd - now);
+    const Duration maxDelay = std::min(MaxAdmissionDelay, leaseEnd - now);
     while (verdict.delays.size() < count) {
         const std::optional<Duration> delay = bucket.reserve(now, maxDelay);
         if (!delay) {
-            const SlotTenure &tenure = this->tenures.at(slot);
+            const SlotOwnership &ownership = this->slotOwnerships.at(slot);
             verdict.retryAfter = std::max(Duration(1000), bucket.waitFor(now) - maxDelay);
-            verdict.recovering = tenure.start == TenureStart::Empty && now < *tenure.grantsFrom + RecoveryPeriod;
+            verdict.recovering =
+                ownership.start == InitialBucketLevel::Empty && now < *ownership.grantsStartAt + RecoveryPeriod;
             break;
         }
         verdict.delays.push_back(*delay);
@@ -63,11 +65,11 @@
     return verdict;
 }
 
-std::optional<std::vector<BucketLevel>> BucketOwner::giveUp(
+std::optional<std::vector<BucketLevel>> CustomerRateLimiter::giveUp(
     SlotId slot, Epoch epoch, const std::vector<CustomerDeclaration> &customersOfSlot, Instant now)
 {
-    const bool present = this->tenures.at(slot).epoch == epoch;
-    if (!this->tenures.giveUp(slot, epoch, now)) {
+    const bool present = this->slotOwnerships.at(slot).epoch == epoch;
+    if (!this->slotOwnerships.giveUp(slot, epoch, now)) {
         return std::nullopt;
     }
     std::vector<BucketLevel> levels;
@@ -84,9 +86,9 @@
     return levels;
 }
 
-void BucketOwner::adopt(const WantedHandover &handover, const std::vector<BucketLevel> &levels, Instant now)
+void CustomerRateLimiter::adopt(const HandoverRequest &handover, const std::vector<BucketLevel> &levels, Instant now)
 {
-    if (!this->tenures.adopt(handover, now)) {
+    if (!this->slotOwnerships.adopt(handover, now)) {
         return;
     }
     for (const BucketLevel &level : levels) {
--- a/src/admission/bucket_owner_base.h
+++ b/src/admission/customer_rate_limiter_base.h
@@ -1,4 +1,5 @@
-/** @file bucket_owner_base.h  The buckets of the customers whose slots this entry owns. Pure: no I/O, no clock. */
+/** @file customer_rate_limiter_base.h  The buckets of the customers whose slots this entry owns. Pure: no I/O, no
+ * clock. */
 #pragma once
 
 #include <cstdint>
@@ -7,7 +8,7 @@
 #include <optional>
 #include <vector>
 
-#include "admission/slot_tenure_base.h"
+#include "admission/slot_ownership_base.h"
 #include "admission/token_bucket_type.h"
 #include "fleet/declaration_type.h"
 
@@ -15,22 +16,22 @@
 {
 
 /** How long a request may be held until it falls due. Past that it is refused at once, with when to come back. */
-constexpr Duration RateHoldBound = std::chrono::milliseconds(2000);
+constexpr Duration MaxAdmissionDelay = std::chrono::milliseconds(2000);
 
-/** How long after an empty start requests may wait for more than RateHoldBound: those that came while the slot had no
- * owner are inside the rate, but late. */
+/** How long after an empty start requests may wait for more than MaxAdmissionDelay: those that came while the slot had
+ * no owner are inside the rate, but late. */
 constexpr Duration RecoveryPeriod = std::chrono::milliseconds(10'000);
 
-enum class AdmitState : std::uint8_t {
+enum class AdmissionState : std::uint8_t {
     Decided, ///< Each request was granted or is over the rate.
     NotOwner, ///< Another entry owns the customer's slot.
     NotYet, ///< This entry may not grant for now; ask again.
 };
 
 /** The answer to a batch of requests of one customer. */
-struct AdmitVerdict
+struct AdmissionDecision
 {
-    AdmitState state = AdmitState::Decided; ///< Whether the rest counts.
+    AdmissionState state = AdmissionState::Decided; ///< Whether the rest counts.
     std::vector<Duration> delays; ///< One for each granted request: how long to hold it.
     Duration retryAfter{0}; ///< For those not granted.
     bool recovering = false; ///< Those not granted may be asked for again: the owner changed a short while ago.
@@ -43,7 +44,7 @@
     double level = 0; ///< Below zero where requests are reserved ahead.
 };
 
-class BucketOwner
+class CustomerRateLimiter
 {
 public:
     /** Finds the declaration of a customer; null where it is not declared. */
@@ -54,21 +55,21 @@
 
     /** Decides on @p count requests of @p customer. @p leaseEnd is until when this entry's view may be relied on:
      * nothing is granted that falls due later. */
-    AdmitVerdict admit(const CustomerDeclaration &customer, std::uint32_t count, Instant now, Instant leaseEnd);
+    AdmissionDecision admit(const CustomerDeclaration &customer, std::uint32_t count, Instant now, Instant leaseEnd);
 
     /** Stops for @p slot and tells what the buckets hold. Nothing where the successor has to wait. */
     std::optional<std::vector<BucketLevel>> giveUp(
         SlotId slot, Epoch epoch, const std::vector<CustomerDeclaration> &customersOfSlot, Instant now);
 
     /** Begins with what the former owner's buckets held. */
-    void adopt(const WantedHandover &handover, const std::vector<BucketLevel> &levels, Instant now);
+    void adopt(const HandoverRequest &handover, const std::vector<BucketLevel> &levels, Instant now);
 
-    SlotTenures tenures; ///< Which slots this entry owns, and from when.
+    SlotOwnershipTable slotOwnerships; ///< Which slots this entry owns, and from when.
 
 private:
     TokenBucket &bucketOf(const CustomerDeclaration &customer, SlotId slot, Instant now);
 
-    /** A bucket and the tenure that it belongs to. */
+    /** A bucket and the ownership that it belongs to. */
     struct OwnedBucket
     {
         Epoch epoch; ///< Of the slot when the bucket was made; a bucket is never used under another.
--- a/src/admission/slot_tenure_base.h
+++ b/src/admission/slot_ownership_base.h
@@ -1,4 +1,4 @@
-/** @file slot_tenure_base.h  From when this entry may grant for a slot that it gained: never while the former owner
+/** @file slot_ownership_base.h  From when this entry may grant for a slot that it gained: never while the former owner
  * may still grant. */
 #pragma once
 
@@ -16,7 +16,7 @@
 
 /** How long after a move was seen its former owner may still hold a view from before it: its freshness bound (3 s from
  * when it sent the read), and a margin for clocks that run at different rates. */
-constexpr Duration FormerOwnerWait = std::chrono::milliseconds(3300);
+constexpr Duration FormerOwnerTimeout = std::chrono::milliseconds(3300);
 
 /** What an entry knows of the fleet, as far as slots go. */
 struct SlotFacts
@@ -27,7 +27,7 @@
 };
 
 /** A former owner that may be asked to stop and to tell what its buckets hold. */
-struct WantedHandover
+struct HandoverRequest
 {
     SlotId slot; ///< Gained by this entry.
     Epoch epoch; ///< Under which this entry owns it.
@@ -35,14 +35,14 @@
     Epoch formerEpoch; ///< Under which it did.
 };
 
-enum class TenureStart : std::uint8_t {
+enum class InitialBucketLevel : std::uint8_t {
     Full, ///< The slot never had an owner before.
     Empty, ///< The former owner's lease ran out, or it may have granted until now.
     Adopted, ///< The former owner stopped and told what was left.
 };
 
 /** One slot as this entry sees it. */
-struct SlotTenure
+struct SlotOwnership
 {
     EntryId owner; ///< Present owner.
     Epoch epoch; ///< Of the present owner.
@@ -51,44 +51,44 @@
     Instant earlierSeenAt; ///< When it first saw that one.
     EntryId former; ///< Owner before the present one, by the fleet state.
     Epoch formerEpoch; ///< Its epoch, by the fleet state.
-    std::optional<Instant> grantsFrom; ///< Set while this entry owns the slot.
-    TenureStart start = TenureStart::Empty; ///< What the buckets begin with.
+    std::optional<Instant> grantsStartAt; ///< Set while this entry owns the slot.
+    InitialBucketLevel start = InitialBucketLevel::Empty; ///< What the buckets begin with.
     Epoch givenUp; ///< Highest epoch under which this entry has stopped for a successor.
     Epoch stopped; ///< Epoch under which this entry last granted, after the slot moved on; 0 for none.
     Instant stoppedAt; ///< When it saw that the slot had moved on.
 };
 
 /** All slots; pure. */
-class SlotTenures
+class SlotOwnershipTable
 {
 public:
-    SlotTenures();
+    SlotOwnershipTable();
 
     /** Takes in a newer view. @return slots that this entry has just gained. */
     std::vector<SlotId> update(const SlotFacts &facts, Instant now);
 
     /** Handovers that would let this entry begin sooner. */
-    [[nodiscard]] std::vector<WantedHandover> wanted(const SlotFacts &facts, Instant now) const;
+    [[nodiscard]] std::vector<HandoverRequest> wanted(const SlotFacts &facts, Instant now) const;
 
     /** The former owner has stopped: this entry begins now. @return false where the slot has moved on meanwhile. */
-    bool adopt(const WantedHandover &handover, Instant now);
+    bool adopt(const HandoverRequest &handover, Instant now);
 
     /** Stops granting for @p slot under @p epoch for good.
      * @return false where this entry did not grant under it, so that the successor has to wait. */
     bool giveUp(SlotId slot, Epoch epoch, Instant now);
 
     /** How long until this entry grants for @p slot; nothing where it doesn't own it. */
-    [[nodiscard]] std::optional<Duration> startsIn(SlotId slot, Instant now) const;
+    [[nodiscard]] std::optional<Duration> timeUntilGrants(SlotId slot, Instant now) const;
 
-    [[nodiscard]] const SlotTenure &at(SlotId slot) const
+    [[nodiscard]] const SlotOwnership &at(SlotId slot) const
     {
-        return this->tenures[slot.value];
+        return this->slotOwnerships[slot.value];
     }
 
 private:
-    void gain(SlotTenure &tenure, Instant now) const;
+    void gain(SlotOwnership &ownership, Instant now) const;
 
-    std::vector<SlotTenure> tenures; ///< By slot number.
+    std::vector<SlotOwnership> slotOwnerships; ///< By slot number.
 };
 
 } // namespace Chestnuthook
--- a/src/admission/token_bucket_type.h
+++ b/src/admission/token_bucket_type.h
@@ -11,10 +11,10 @@
 
 /** How long after it fell due a grant may be used. Requests bunch by at most this much, so the bucket holds as much
  * less than the declared burst as is earned in this time. */
-constexpr Duration GrantLife = std::chrono::milliseconds(250);
+constexpr Duration GrantTtl = std::chrono::milliseconds(250);
 
-/** Invariant: over every window w, at most burst + rate * w grants are used, where each is used within GrantLife after
- * it falls due: grants due in a window v are at most capacity + rate * v, and v <= w + GrantLife. */
+/** Invariant: over every window w, at most burst + rate * w grants are used, where each is used within GrantTtl after
+ * it falls due: grants due in a window v are at most capacity + rate * v, and v <= w + GrantTtl. */
 class TokenBucket
 {
 public:
@@ -84,7 +84,7 @@
     /** The most that a bucket of @p rate and @p burst holds; at least one request. */
     [[nodiscard]] static double capacityOf(double rate, double burst)
     {
-        const double life = static_cast<double>(GrantLife.count()) / 1e6;
+        const double life = static_cast<double>(GrantTtl.count()) / 1e6;
         return std::max(std::min(burst, 1.0), burst - rate * life);
     }
 
--- a/src/entry/admission_client_base.cpp
+++ b/src/entry/admission_client_base.cpp
@@ -18,10 +18,10 @@
 /** How often a former owner is asked for its buckets. */
 constexpr Duration HandoverPeriod = std::chrono::milliseconds(100);
 
-AdmitVerdict unreachable()
+AdmissionDecision unreachable()
 {
-    AdmitVerdict verdict;
-    verdict.state = AdmitState::NotOwner;
+    AdmissionDecision verdict;
+    verdict.state = AdmissionState::NotOwner;
     return verdict;
 }
 
@@ -64,7 +64,7 @@
     this->requestHandovers();
 }
 
-AdmitVerdict AdmissionClient::decide(const CustomerId &customer, std::uint32_t count)
+AdmissionDecision AdmissionClient::decide(const CustomerId &customer, std::uint32_t count)
 {
     const auto view = this->follower.views.get();
     if (view == nullptr) {
@@ -78,7 +78,7 @@
     return this->owner.admit(declared->second, count, now, this->follower.views.relyUntil());
 }
 
-kj::Promise<AdmitVerdict> AdmissionClient::ask(const CustomerId &customer)
+kj::Promise<AdmissionDecision> AdmissionClient::ask(const CustomerId &customer)
 {
     const auto view = this->follower.views.get();
     const EntryId slotOwner = view == nullptr ? EntryId{} : view->slots[slotOf(customer.text).value].owner;
@@ -89,7 +89,7 @@
     if (address.empty()) {
         return unreachable();
     }
-    auto paf = kj::newPromiseAndFulfiller<AdmitVerdict>();
+    auto paf = kj::newPromiseAndFulfiller<AdmissionDecision>();
     Batch &batch = this->batches[address];
     batch.waiting.push_back({customer, kj::mv(paf.fulfiller)});
     if (!batch.busy) {
@@ -153,12 +153,12 @@
 {
     std::vector<unsigned> used(replies.size(), 0);
     for (std::size_t i = 0; i < waiters.size(); ++i) {
-        AdmitVerdict verdict = unreachable();
+        AdmissionDecision verdict = unreachable();
         if (rows[i] < replies.size()) {
             const auto reply = replies[rows[i]];
             const unsigned place = used[rows[i]]++;
             const bool undecided = reply.hasFailure();
-            verdict.state = undecided ? AdmitState::NotYet : AdmitState::Decided;
+            verdict.state = undecided ? AdmissionState::NotYet : AdmissionState::Decided;
             verdict.retryAfter = std::chrono::milliseconds(reply.getHoldMs());
             verdict.recovering = reply.getRecovering();
             if (!undecided && place < reply.getDelaysUs().size()) {
@@ -172,8 +172,9 @@
 void AdmissionClient::requestHandovers()
 {
     const auto view = this->follower.views.get();
-    std::map<std::string, std::vector<WantedHandover>> byAddress;
-    for (const WantedHandover &handover : this->owner.tenures.wanted(this->facts(*view), this->loop.timers().now())) {
+    std::map<std::string, std::vector<HandoverRequest>> byAddress;
+    for (const HandoverRequest &handover :
+        this->owner.slotOwnerships.wanted(this->facts(*view), this->loop.timers().now())) {
         byAddress[this->addressOf(handover.former)].push_back(handover);
     }
     if (byAddress.empty()) {
@@ -188,7 +189,7 @@
     });
 }
 
-kj::Promise<void> AdmissionClient::requestHandover(const std::string &address, std::vector<WantedHandover> wanted)
+kj::Promise<void> AdmissionClient::requestHandover(const std::string &address, std::vector<HandoverRequest> wanted)
 {
     auto sent = this->peers.peer(address).then([wanted](Wire::EntryPeer::Client &&peer) {
         auto request = peer.giveUpRequest();
--- a/src/entry/admission_client_base.h
+++ b/src/entry/admission_client_base.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "admission/bucket_owner_base.h"
+#include "admission/customer_rate_limiter_base.h"
 #include "entry/fleet_follower_base.h"
 #include "entry/peer_links_base.h"
 #include "rpc/control_loop_base.h"
@@ -22,10 +22,10 @@
 
     /** Asks the owner of @p customer's slot for one request. NotOwner means that there is none, or that it can't be
      * reached. */
-    [[nodiscard]] kj::Promise<AdmitVerdict> ask(const CustomerId &customer);
+    [[nodiscard]] kj::Promise<AdmissionDecision> ask(const CustomerId &customer);
 
     /** Decides as the owner of @p customer's slot. */
-    [[nodiscard]] AdmitVerdict decide(const CustomerId &customer, std::uint32_t count);
+    [[nodiscard]] AdmissionDecision decide(const CustomerId &customer, std::uint32_t count);
 
     /** Stops for slots that another entry has gained, and tells what their buckets hold. */
     void giveUp(capnp::List<Wire::GivenUpSlot>::Reader slots, capnp::List<Wire::GivenUpSlot>::Builder replies);
@@ -37,7 +37,7 @@
     struct Waiter
     {
         CustomerId customer; ///< Whose request it is.
-        kj::Own<kj::PromiseFulfiller<AdmitVerdict>> fulfiller; ///< Gets the verdict.
+        kj::Own<kj::PromiseFulfiller<AdmissionDecision>> fulfiller; ///< Gets the verdict.
     };
     struct Batch
     {
@@ -50,13 +50,13 @@
     void takeReplies(
         capnp::List<Wire::AdmitReply>::Reader replies, std::vector<Waiter> &waiters, const std::vector<unsigned> &rows);
     void requestHandovers();
-    kj::Promise<void> requestHandover(const std::string &address, std::vector<WantedHandover> wanted);
+    kj::Promise<void> requestHandover(const std::string &address, std::vector<HandoverRequest> wanted);
     [[nodiscard]] std::string addressOf(const EntryId &entry) const;
 
     ControlLoop &loop; ///< Outlives this.
     FleetFollower &follower; ///< Outlives this.
     PeerLinks &peers; ///< Outlives this.
-    BucketOwner owner; ///< Buckets of the owned slots.
+    CustomerRateLimiter owner; ///< Buckets of the owned slots.
     std::map<std::string, Batch> batches; ///< By the owner's address.
     TimerSubscription handovers; ///< Runs while a handover is wanted.
 };
--- a/src/entry/admission_gate_base.cpp
+++ b/src/entry/admission_gate_base.cpp
@@ -64,22 +64,22 @@
     const Instant begin = this->loop.timers().now();
     for (;;) {
         const Instant askedAt = this->loop.timers().now();
-        const AdmitVerdict verdict = this->loop.call([&]() {
+        const AdmissionDecision verdict = this->loop.call([&]() {
             return this->client.ask(caller.customer);
         });
-        const bool granted = verdict.state == AdmitState::Decided && !verdict.delays.empty();
+        const bool granted = verdict.state == AdmissionState::Decided && !verdict.delays.empty();
         if (granted) {
             bool late = false;
             // The owner granted after it was asked, so counted from then the grant is used in time by its clock too.
             const Duration delay = verdict.delays.front();
-            Result<void> held = this->hold(caller, delay, askedAt + delay + GrantLife, late);
+            Result<void> held = this->hold(caller, delay, askedAt + delay + GrantTtl, late);
             if (!held || !late) {
                 metrics().record(MetricKind::AdmissionHoldMs,
                     static_cast<double>((this->loop.timers().now() - begin).count()) / 1e3, caller.customer.text);
                 return held;
             }
         }
-        const bool overRate = verdict.state == AdmitState::Decided && !granted;
+        const bool overRate = verdict.state == AdmissionState::Decided && !granted;
         const Duration pause = std::clamp(verdict.retryAfter, AskAgainPeriod / 10, AskAgainPeriod);
         const Duration waited = this->loop.timers().now() + pause - begin;
         if (overRate && (!verdict.recovering || waited > OwnerWaitBound)) {
@@ -91,7 +91,7 @@
                 Ran::No, std::max(NotReadyRetryMs, millisecondsOf(verdict.retryAfter))});
         }
         if (!granted) {
-            std::this_thread::sleep_for(verdict.state == AdmitState::NotOwner ? AskAgainPeriod : pause);
+            std::this_thread::sleep_for(verdict.state == AdmissionState::NotOwner ? AskAgainPeriod : pause);
         }
     }
 }
--- a/src/entry/entry_peer_admit.cpp
+++ b/src/entry/entry_peer_admit.cpp
@@ -18,14 +18,14 @@
     const auto requests = context.getParams().getRequests();
     auto replies = context.getResults().initReplies(requests.size());
     for (unsigned i = 0; i < requests.size(); ++i) {
-        const AdmitVerdict verdict =
+        const AdmissionDecision verdict =
             this->entry.admission.client.decide(CustomerId{textOf(requests[i].getTenant())}, requests[i].getRequests());
         auto reply = replies[i];
         reply.setHoldMs(static_cast<std::uint32_t>((verdict.retryAfter.count() + 999) / 1000));
         reply.setRecovering(verdict.recovering);
-        if (verdict.state != AdmitState::Decided) {
+        if (verdict.state != AdmissionState::Decided) {
             const std::string what =
-                verdict.state == AdmitState::NotYet ? "the slot is changing hands" : "not the owner";
+                verdict.state == AdmissionState::NotYet ? "the slot is changing hands" : "not the owner";
             writeFailure(reply.initFailure(), Error{ErrorKind::NotReady, what, Ran::No, 0});
             continue;
         }
--- a/src/entry/permit_broker_base.cpp
+++ b/src/entry/permit_broker_base.cpp
@@ -28,12 +28,12 @@
 /** Tokens of queue that a token of prefill outweighs, so that programs stay where their cache is. */
 constexpr double CacheWeight = 16;
 
-EndpointSign signOf(const AttemptOutcome &outcome)
+ConnectionOutcome signOf(const AttemptOutcome &outcome)
 {
     if (outcome.complete) {
-        return EndpointSign::Answered;
+        return ConnectionOutcome::Answered;
     }
-    return outcome.sent ? EndpointSign::Broken : EndpointSign::Unreachable;
+    return outcome.sent ? ConnectionOutcome::Broken : ConnectionOutcome::Unreachable;
 }
 
 } // namespace
@@ -104,9 +104,9 @@
     return estimate;
 }
 
-WaitingCall PermitBroker::callOf(const Ticket &ticket) const
+QueuedCall PermitBroker::callOf(const Ticket &ticket) const
 {
-    WaitingCall call;
+    QueuedCall call;
     call.customer = ticket.demand.customer;
     call.attainedTokens = static_cast<double>(ticket.demand.attainedTokens);
     const double output = std::min(UsualOutputTokens,
@@ -155,7 +155,7 @@
     const std::size_t chosen = rule.choose(estimates, {prompt, UsualOutputTokens}, this->choiceState);
     ticket.endpoint = candidates[chosen]->id;
     ticket.uncachedTokens = std::max(0.0, prompt - estimates[chosen].cachedTokens);
-    this->health.onChosen(ticket.endpoint, now);
+    this->health.onSelected(ticket.endpoint, now);
     this->ask(id, ticket);
     return true;
 }
@@ -181,7 +181,8 @@
     const PermitKey key{this->follower.self.id, id};
     ticket.told = true;
     const ListedEndpoint *endpoint = this->listed(ticket.endpoint);
-    this->ledger.setBound(ticket.endpoint, inFlightBound(endpoint == nullptr ? ticket.demand.kind : endpoint->kind));
+    this->ledger.setMaxInFlight(
+        ticket.endpoint, inFlightBound(endpoint == nullptr ? ticket.demand.kind : endpoint->kind));
     if (ticket.running) {
         this->ledger.adopt(ticket.endpoint, key, this->callOf(ticket));
         return;
@@ -250,7 +251,7 @@
     this->health.record(permit.endpoint, signOf(outcome), this->loop.timers().now());
     if (outcome.complete && demand.kind == EndpointKind::Engine) {
         const double held = static_cast<double>(demand.promptTokens + outcome.completionTokens);
-        this->prefixes.onRun(permit.endpoint, demand.program, held);
+        this->prefixes.setCachedTokens(permit.endpoint, demand.program, held);
     }
     if (ticket.fallback) {
         --this->fallbacks[ticket.endpoint];
@@ -298,7 +299,7 @@
     for (const auto &[id, customer] : view->customers) {
         this->ledger.fairness.setWeight(id, customer.weight);
     }
-    this->ledger.keepOnly(leased);
+    this->ledger.releaseUnleased(leased);
     for (const EndpointId &endpoint : this->ledger.endpoints()) {
         if (this->dispatcher(endpoint) != this->follower.self.id) {
             this->ledger.drop(endpoint);
--- a/src/entry/permit_broker_base.h
+++ b/src/entry/permit_broker_base.h
@@ -17,7 +17,7 @@
 #include "entry/peer_links_base.h"
 #include "policy/endpoint_choice_func.h"
 #include "policy/endpoint_health_base.h"
-#include "policy/permit_ledger_base.h"
+#include "policy/permit_table_base.h"
 #include "policy/prefix_index_base.h"
 #include "rpc/control_loop_base.h"
 
@@ -94,7 +94,7 @@
     [[nodiscard]] EntryId dispatcher(const EndpointId &endpoint) const;
     [[nodiscard]] std::vector<const ListedEndpoint *> fitting(const DispatchDemand &demand, Instant now) const;
     [[nodiscard]] EndpointEstimate estimate(const EndpointId &endpoint, const ProgramId &program) const;
-    [[nodiscard]] WaitingCall callOf(const Ticket &ticket) const;
+    [[nodiscard]] QueuedCall callOf(const Ticket &ticket) const;
     [[nodiscard]] std::size_t liveEntries() const;
     bool place(std::uint64_t id, Ticket &ticket, Instant now);
     void ask(std::uint64_t id, Ticket &ticket);
@@ -118,7 +118,7 @@
     PeerLinks &peers; ///< Outlives this.
     std::atomic<std::shared_ptr<const EndpointList>> latest; ///< The platform's list; never null.
     std::shared_ptr<const EndpointList> list; ///< The one in use on the control thread; never null.
-    PermitLedger ledger; ///< Endpoints that fall to this entry.
+    PermitTable ledger; ///< Endpoints that fall to this entry.
     std::map<std::uint64_t, Ticket> tickets; ///< By permit id.
     std::map<EntryId, Outbox> outboxes; ///< By dispatcher.
     std::map<EndpointId, RemoteLoad> remoteLoads; ///< Of endpoints dispatched elsewhere.
--- a/src/entry/permit_exchange_base.cpp
+++ b/src/entry/permit_exchange_base.cpp
@@ -84,7 +84,7 @@
                 continue; // Gone since; without an endpoint it is not counted.
             }
             const Ticket &ticket = found->second;
-            const WaitingCall call = this->callOf(ticket);
+            const QueuedCall call = this->callOf(ticket);
             asks[i].setEndpoint(ticket.endpoint.text);
             asks[i].setProgram(ticket.demand.program.text);
             asks[i].setTenant(ticket.demand.customer.text);
@@ -177,9 +177,9 @@
         }
         const PermitKey key{EntryId{textOf(request.getEntry())}, request.getPermit()};
         if (const ListedEndpoint *one = this->listed(endpoint)) {
-            this->ledger.setBound(endpoint, inFlightBound(one->kind));
+            this->ledger.setMaxInFlight(endpoint, inFlightBound(one->kind));
         }
-        WaitingCall call;
+        QueuedCall call;
         call.customer = CustomerId{textOf(request.getTenant())};
         call.attainedTokens = request.getAttained();
         call.expectedTokens = request.getTokens();
--- a/src/entry/program_runtime_base.cpp
+++ b/src/entry/program_runtime_base.cpp
@@ -113,7 +113,7 @@
             }
             known->second = OwnedSlot{epoch, true, false, false};
             this->copy.dropSlot(slot);
-            this->copy.adoptSlotEpoch(slot, epoch);
+            this->copy.setSlotEpoch(slot, epoch);
             taken.insert(slot);
         }
     }
--- a/src/entry/program_service_base.cpp
+++ b/src/entry/program_service_base.cpp
@@ -177,7 +177,7 @@
     if (path.size() == 3 && path[1] == "chat" && path[2] == "completions" && method == "POST") {
         this->route = Route::Chat;
         this->program = ProgramId{this->request.program};
-        return this->checkCall(chatCall(this->request.body));
+        return this->checkCall(parseChatCall(this->request.body));
     }
     if (path.size() >= 3 && path[1] == "services") {
         return this->checkService();
@@ -230,7 +230,7 @@
     const std::string prefix = "/v1/services/" + service.text;
     const std::string rest = this->request.uri.starts_with(prefix) ? this->request.uri.substr(prefix.size()) : "/";
     const std::string type = this->request.contentType.empty() ? "application/json" : this->request.contentType;
-    Result<void> checked = this->checkCall(serviceCall(
+    Result<void> checked = this->checkCall(makeServiceCall(
         service, this->request.method, rest.starts_with("/") ? rest : "/" + rest, type, this->request.body));
     const auto &methods = declared->second.idempotentMethods;
     const bool idempotent = std::find(methods.begin(), methods.end(), this->request.method) != methods.end();
--- a/src/policy/endpoint_choice_func.h
+++ b/src/policy/endpoint_choice_func.h
@@ -64,7 +64,7 @@
     }
 };
 
-struct TwoChoices
+struct PowerOfTwoChoices
 {
     [[nodiscard]] std::size_t choose(
         std::span<const EndpointEstimate> endpoints, const CallEstimate & /*call*/, std::uint64_t &state) const
@@ -76,7 +76,7 @@
 };
 
 /** Always where most of the prompt is cached; for the bound on recomputed tokens. */
-struct PerfectAffinity
+struct StrictCacheAffinity
 {
     [[nodiscard]] std::size_t choose(
         std::span<const EndpointEstimate> endpoints, const CallEstimate &call, std::uint64_t &state) const
@@ -116,6 +116,6 @@
 
 static_assert(
     EndpointChoice<
-        RoundRobin> && EndpointChoice<LeastLoaded> && EndpointChoice<TwoChoices> && EndpointChoice<PerfectAffinity> && EndpointChoice<PredictedCompletion>);
+        RoundRobin> && EndpointChoice<LeastLoaded> && EndpointChoice<PowerOfTwoChoices> && EndpointChoice<StrictCacheAffinity> && EndpointChoice<PredictedCompletion>);
 
 } // namespace Chestnuthook
--- a/src/policy/endpoint_health_base.h
+++ b/src/policy/endpoint_health_base.h
@@ -11,7 +11,7 @@
 {
 
 /** How an attempt looked from outside. */
-enum class EndpointSign : std::uint8_t {
+enum class ConnectionOutcome : std::uint8_t {
     Answered, ///< A whole answer, whatever its status.
     Broken, ///< The connection broke or timed out after something was sent.
     Unreachable, ///< No connection was made.
@@ -27,14 +27,14 @@
     /** Broken calls in a row that count as one failure to reach the endpoint. */
     static constexpr int BrokenLimit = 3;
 
-    void record(const EndpointId &endpoint, EndpointSign sign, Instant now)
+    void record(const EndpointId &endpoint, ConnectionOutcome sign, Instant now)
     {
-        if (sign == EndpointSign::Answered) {
+        if (sign == ConnectionOutcome::Answered) {
             this->rows.erase(endpoint);
             return;
         }
         Row &row = this->rows[endpoint];
-        const bool fails = sign == EndpointSign::Unreachable || ++row.broken % BrokenLimit == 0;
+        const bool fails = sign == ConnectionOutcome::Unreachable || ++row.broken % BrokenLimit == 0;
         if (fails && now >= row.until) {
             row.pause = std::min(LongestPause, row.pause.count() == 0 ? FirstPause : row.pause * 2);
             row.until = now + row.pause;
@@ -47,7 +47,7 @@
         const auto row = this->rows.find(endpoint);
         return row == this->rows.end() || now >= row->second.until;
     }
-    void onChosen(const EndpointId &endpoint, Instant now)
+    void onSelected(const EndpointId &endpoint, Instant now)
     {
         const auto row = this->rows.find(endpoint);
         if (row != this->rows.end() && row->second.pause.count() > 0) {
--- a/src/policy/endpoint_queue_base.h
+++ b/src/policy/endpoint_queue_base.h
@@ -15,7 +15,7 @@
 {
 
 /** Bounds of one endpoint. */
-struct EndpointBounds
+struct EndpointLimits
 {
     std::size_t inFlight = 32; ///< Calls that may run at the same time.
     std::size_t waiting = 512; ///< Calls that may wait.
@@ -28,7 +28,7 @@
 class EndpointQueue
 {
 public:
-    explicit EndpointQueue(EndpointBounds given = {}, Order rule = {})
+    explicit EndpointQueue(EndpointLimits given = {}, Order rule = {})
         : bounds(given)
         , order(rule)
     {
@@ -36,7 +36,7 @@
 
     /** Adds a call. @return the id of the call that was shed for want of room, which may be @p call's own: the newest
      * call of the customer that waits for most by its weight. */
-    std::optional<std::uint64_t> push(const WaitingCall &call, FairCounters &fairness)
+    std::optional<std::uint64_t> push(const QueuedCall &call, FairCounters &fairness)
     {
         if (this->customerOf.contains(call.id)) {
             return std::nullopt; // A resend.
@@ -54,13 +54,13 @@
     }
 
     /** Takes the next call that may start, and counts it as in flight. */
-    std::optional<WaitingCall> start(FairCounters &fairness)
+    std::optional<QueuedCall> start(FairCounters &fairness)
     {
         if (this->waitingCount == 0 || this->running.size() >= this->bounds.inFlight || this->isolatedRuns) {
             return std::nullopt;
         }
         const CustomerId customer = this->nextCustomer(fairness);
-        const WaitingCall call = this->waiting[customer].begin()->second;
+        const QueuedCall call = this->waiting[customer].begin()->second;
         if (call.isolated && !this->running.empty()) {
             return std::nullopt; // Its turn has come: what runs is let end first.
         }
@@ -73,7 +73,7 @@
     }
 
     /** Counts a call that runs already, whatever the bounds say. A call that waited starts. */
-    void adopt(const WaitingCall &call, FairCounters &fairness)
+    void adopt(const QueuedCall &call, FairCounters &fairness)
     {
         if (this->running.contains(call.id)) {
             return;
@@ -105,7 +105,7 @@
             const auto found = std::find_if(calls.begin(), calls.end(), [&](const auto &entry) {
                 return entry.first.second == id;
             });
-            this->drop(WaitingCall(found->second));
+            this->drop(QueuedCall(found->second));
         }
         this->customerOf.erase(id);
         return true;
@@ -133,12 +133,12 @@
         return this->running.contains(id);
     }
 
-    EndpointBounds bounds; ///< May change at any time; nothing running is stopped by it.
+    EndpointLimits bounds; ///< May change at any time; nothing running is stopped by it.
 
 private:
-    using Calls = std::map<std::pair<double, std::uint64_t>, WaitingCall>;
+    using Calls = std::map<std::pair<double, std::uint64_t>, QueuedCall>;
 
-    void drop(const WaitingCall &call)
+    void drop(const QueuedCall &call)
     {
         const auto calls = this->waiting.find(call.customer);
         calls->second.erase(std::pair{this->order.key(call), call.id});
@@ -183,7 +183,7 @@
 
     Order order; ///< Within a customer, or among all calls.
     std::map<CustomerId, Calls> waiting; ///< No customer with an empty queue.
-    std::map<std::uint64_t, WaitingCall> running; ///< In flight, by id.
+    std::map<std::uint64_t, QueuedCall> running; ///< In flight, by id.
     std::map<std::uint64_t, CustomerId> customerOf; ///< Of all calls that wait or run.
     std::size_t waitingCount = 0; ///< Of all customers.
     double waitingTokensSum = 0; ///< Of all waiting calls.
--- a/src/policy/permit_ledger_base.h
+++ b/src/policy/permit_table_base.h
@@ -1,4 +1,4 @@
-/** @file permit_ledger_base.h  A dispatcher's count of the permits of its endpoints: who runs and who waits. Pure. */
+/** @file permit_table_base.h  A dispatcher's count of the permits of its endpoints: who runs and who waits. Pure. */
 #pragma once
 
 #include <compare>
@@ -30,11 +30,11 @@
 
 /** Invariants: a permit is counted at most once however often it is asked for, until it is released or its entry's
  * lease ends; a released permit is never granted again. */
-class PermitLedger
+class PermitTable
 {
 public:
     /** Asks for a permit, or again for one asked for before. */
-    PermitState ask(const EndpointId &endpoint, const PermitKey &key, WaitingCall call)
+    PermitState ask(const EndpointId &endpoint, const PermitKey &key, QueuedCall call)
     {
         if (this->ended.contains(key)) {
             return PermitState::Waiting; // A message that was overtaken by the release; its asker does not wait.
@@ -60,7 +60,7 @@
     }
 
     /** Counts a permit that is in use already: an earlier dispatcher granted it, or none could be reached. */
-    void adopt(const EndpointId &endpoint, const PermitKey &key, WaitingCall call)
+    void adopt(const EndpointId &endpoint, const PermitKey &key, QueuedCall call)
     {
         if (this->ended.contains(key)) {
             return;
@@ -89,7 +89,7 @@
     }
 
     /** Returns the permits of entries that have no lease any more. */
-    void keepOnly(const std::set<EntryId> &leased)
+    void releaseUnleased(const std::set<EntryId> &leased)
     {
         std::vector<PermitKey> gone;
         for (const auto &[key, id] : this->ids) {
@@ -129,7 +129,7 @@
         return std::exchange(this->shed, {});
     }
 
-    void setBound(const EndpointId &endpoint, std::size_t inFlight)
+    void setMaxInFlight(const EndpointId &endpoint, std::size_t inFlight)
     {
         this->queues[endpoint].bounds.inFlight = inFlight;
     }
@@ -161,7 +161,7 @@
 
 private:
     static constexpr std::size_t MaxEnded = 16384;
-    using Queue = EndpointQueue<MostAttained>;
+    using Queue = EndpointQueue<MostAttainedService>;
 
     void startNext(const EndpointId &endpoint)
     {
--- a/src/policy/placement_func.h
+++ b/src/policy/placement_func.h
@@ -28,7 +28,7 @@
 };
 
 /** One change. */
-struct PlacementOrder
+struct PlacementChange
 {
     EndpointId endpoint; ///< To whom.
     ModelId model; ///< To load.
@@ -39,7 +39,7 @@
 
 /** The next change, or none where the placement is right within the hysteresis. One change at a time, as the weight
  * store limits loads. Every model with demand or a declaration keeps at least one engine. */
-inline std::optional<PlacementOrder> nextPlacement(
+inline std::optional<PlacementChange> nextPlacement(
     const std::map<ModelId, ModelDemand> &models, const std::vector<PlacedEngine> &engines)
 {
     double total = 0;
@@ -79,7 +79,7 @@
     }
     for (const PlacedEngine &engine : engines) {
         if (engine.model == *richest) {
-            return PlacementOrder{engine.endpoint, *poorest};
+            return PlacementChange{engine.endpoint, *poorest};
         }
     }
     return std::nullopt;
--- a/src/policy/prefix_index_base.h
+++ b/src/policy/prefix_index_base.h
@@ -23,7 +23,7 @@
     static constexpr std::size_t MaxProgramsPerEndpoint = 4096;
 
     /** A call of @p program ran at @p endpoint, which holds @p tokens of it now. */
-    void onRun(const EndpointId &endpoint, const ProgramId &program, double tokens)
+    void setCachedTokens(const EndpointId &endpoint, const ProgramId &program, double tokens)
     {
         Endpoint &row = this->endpoints[endpoint];
         const auto found = row.programs.find(program);
--- a/src/policy/queue_order_func.h
+++ b/src/policy/queue_order_func.h
@@ -11,7 +11,7 @@
 {
 
 /** A call that waits for its turn at an endpoint. */
-struct WaitingCall
+struct QueuedCall
 {
     std::uint64_t id = 0; ///< Of the asker; unique in its queue.
     CustomerId customer; ///< For fairness.
@@ -23,7 +23,7 @@
 
 /** Gives each call a key that doesn't change while it waits; the least is served first. */
 template<typename T>
-concept QueueOrder = requires(const T &order, const WaitingCall &call)
+concept QueueOrder = requires(const T &order, const QueuedCall &call)
 {
     {
         order.key(call)
@@ -33,7 +33,7 @@
 /** First come, first served. */
 struct ArrivalOrder
 {
-    [[nodiscard]] double key(const WaitingCall &call) const
+    [[nodiscard]] double key(const QueuedCall &call) const
     {
         return static_cast<double>(call.arrived.us);
     }
@@ -42,7 +42,7 @@
 /** The call with the least work first, whatever its program has had. */
 struct ShortestFirst
 {
-    [[nodiscard]] double key(const WaitingCall &call) const
+    [[nodiscard]] double key(const QueuedCall &call) const
     {
         return call.expectedTokens;
     }
@@ -50,11 +50,11 @@
 
 /** The program with the least service first. A call ages: each second of waiting counts as AgeingTokensPerSecond less
  * service, so a long program is overtaken for a bounded time only. As all keys fall alike, they need no updates. */
-struct LeastAttained
+struct LeastAttainedService
 {
     double ageingTokensPerSecond = 200; ///< Zero for no ageing.
 
-    [[nodiscard]] double key(const WaitingCall &call) const
+    [[nodiscard]] double key(const QueuedCall &call) const
     {
         return call.attainedTokens + static_cast<double>(call.arrived.us) / 1e6 * this->ageingTokensPerSecond;
     }
@@ -62,17 +62,18 @@
 
 /** The program with the most service first, so that what was begun is finished, ends its memory and wastes no cache.
  * A call ages: each second of waiting counts as AgeingTokensPerSecond more service. */
-struct MostAttained
+struct MostAttainedService
 {
     double ageingTokensPerSecond = 50; ///< Zero for no ageing.
 
-    [[nodiscard]] double key(const WaitingCall &call) const
+    [[nodiscard]] double key(const QueuedCall &call) const
     {
         return static_cast<double>(call.arrived.us) / 1e6 * this->ageingTokensPerSecond - call.attainedTokens;
     }
 };
 
 static_assert(
-    QueueOrder<MostAttained> && QueueOrder<ArrivalOrder> && QueueOrder<ShortestFirst> && QueueOrder<LeastAttained>);
+    QueueOrder<
+        MostAttainedService> && QueueOrder<ArrivalOrder> && QueueOrder<ShortestFirst> && QueueOrder<LeastAttainedService>);
 
 } // namespace Chestnuthook
--- a/src/policy/random_func.h
+++ b/src/policy/random_func.h
@@ -17,7 +17,7 @@
 }
 
 /** Evenly spread over [0, 1). */
-inline double nextUnit(std::uint64_t &state)
+inline double nextUniform(std::uint64_t &state)
 {
     constexpr double Scale = 1.0 / static_cast<double>(1ULL << 53);
     return static_cast<double>(nextRandom(state) >> 11) * Scale;
--- a/src/policy/retention_func.h
+++ b/src/policy/retention_func.h
@@ -34,7 +34,7 @@
 };
 
 /** A pause that begins. */
-struct PauseOutlook
+struct PauseEstimate
 {
     double expectedSeconds = 0; ///< Until the program comes back.
     double tokens = 0; ///< In the cache.
@@ -45,7 +45,7 @@
 };
 
 template<typename T>
-concept RetentionRule = requires(const T &rule, const PauseOutlook &pause)
+concept RetentionRule = requires(const T &rule, const PauseEstimate &pause)
 {
     {
         rule.decide(pause)
@@ -54,7 +54,7 @@
 
 struct AlwaysHold
 {
-    [[nodiscard]] Retention decide(const PauseOutlook & /*pause*/) const
+    [[nodiscard]] Retention decide(const PauseEstimate & /*pause*/) const
     {
         return Retention::Hold;
     }
@@ -62,7 +62,7 @@
 
 struct AlwaysDrop
 {
-    [[nodiscard]] Retention decide(const PauseOutlook & /*pause*/) const
+    [[nodiscard]] Retention decide(const PauseEstimate & /*pause*/) const
     {
         return Retention::Drop;
     }
@@ -72,7 +72,7 @@
  * costs recomputeSeconds * expected / turnover; dropping costs recomputeSeconds, exporting transferSeconds. */
 struct LeastCost
 {
-    [[nodiscard]] Retention decide(const PauseOutlook &pause) const
+    [[nodiscard]] Retention decide(const PauseEstimate &pause) const
     {
         const double share = pause.turnoverSeconds <= 0 ? 0 : pause.expectedSeconds / pause.turnoverSeconds;
         const double hold = pause.recomputeSeconds * share;
--- a/src/policy/retry_budget_base.h
+++ b/src/policy/retry_budget_base.h
@@ -48,7 +48,7 @@
     constexpr std::int64_t BaseUs = 50'000;
     constexpr unsigned MaxDoublings = 5;
     const std::int64_t bound = BaseUs << std::min(retry == 0 ? 0 : retry - 1, MaxDoublings);
-    return Duration(static_cast<std::int64_t>(nextUnit(random) * static_cast<double>(bound)));
+    return Duration(static_cast<std::int64_t>(nextUniform(random) * static_cast<double>(bound)));
 }
 
 } // namespace Chestnuthook
--- a/src/program/call_request_func.cpp
+++ b/src/program/call_request_func.cpp
@@ -225,7 +225,7 @@
     return bad("field kind must be model or tool");
 }
 
-Result<CallRequest> serviceCall(const ServiceId &service, const std::string &method, const std::string &path,
+Result<CallRequest> makeServiceCall(const ServiceId &service, const std::string &method, const std::string &path,
     const std::string &contentType, const std::string &body)
 {
     return parseCall(R"({"kind":"tool","service":)" + jsonQuoted(service.text) + R"(,"method":)" + jsonQuoted(method)
@@ -233,7 +233,7 @@
         + (body.empty() ? "" : R"(,"body":)" + jsonQuoted(body)) + "}");
 }
 
-Result<CallRequest> chatCall(const std::string &body)
+Result<CallRequest> parseChatCall(const std::string &body)
 {
     if (!isUtf8(body)) {
         return bad("the body is not UTF-8");
--- a/src/program/call_request_type.h
+++ b/src/program/call_request_type.h
@@ -42,11 +42,11 @@
 [[nodiscard]] Result<CallRequest> parseCall(const std::string &body);
 
 /** The tool call that a request to a plain service makes. Errors: BadRequest. */
-[[nodiscard]] Result<CallRequest> serviceCall(const ServiceId &service, const std::string &method,
+[[nodiscard]] Result<CallRequest> makeServiceCall(const ServiceId &service, const std::string &method,
     const std::string &path, const std::string &contentType, const std::string &body);
 
 /** The model call that a customary chat completion makes; content may be a list of text parts. Errors: BadRequest. */
-[[nodiscard]] Result<CallRequest> chatCall(const std::string &body);
+[[nodiscard]] Result<CallRequest> parseChatCall(const std::string &body);
 
 /** The same call without the messages that @p history begins with, as ordinary clients send the whole conversation. */
 [[nodiscard]] CallRequest withoutHistory(const CallRequest &call, const std::vector<ChatMessage> &history);
--- a/src/program/journal_base.h
+++ b/src/program/journal_base.h
@@ -39,7 +39,7 @@
     void adopt(ProgramRecord program);
 
     /** Sets the epoch of an owned slot in a copy, which has not seen the command that opened it. */
-    void adoptSlotEpoch(SlotId slot, Epoch epoch)
+    void setSlotEpoch(SlotId slot, Epoch epoch)
     {
         this->epochs[slot] = epoch;
     }
@@ -69,7 +69,7 @@
     Result<void> doEndProgram(Wire::JournalCommand::Reader command, bool execute);
     Result<void> doReleased(Wire::JournalCommand::Reader command, bool execute);
     Result<void> doReserve(Wire::JournalCommand::Reader command, bool execute);
-    Result<void> doCarve(Wire::JournalCommand::Reader command, bool execute);
+    Result<void> doAllocateChildBudget(Wire::JournalCommand::Reader command, bool execute);
     Result<void> doChildEnded(Wire::JournalCommand::Reader command, bool execute);
     Result<void> doForget(Wire::JournalCommand::Reader command, bool execute);
     Result<ProgramRecord *> openProgram(const std::string &id);
--- a/src/program/journal_cmd.cpp
+++ b/src/program/journal_cmd.cpp
@@ -99,7 +99,7 @@
     case Wire::JournalCommand::FORGET:
         return this->doForget(command, execute);
     case Wire::JournalCommand::CARVE:
-        return this->doCarve(command, execute);
+        return this->doAllocateChildBudget(command, execute);
     case Wire::JournalCommand::CHILD_ENDED:
         return this->doChildEnded(command, execute);
     }
@@ -286,7 +286,7 @@
     return {};
 }
 
-Result<void> JournalState::doCarve(Wire::JournalCommand::Reader command, bool execute)
+Result<void> JournalState::doAllocateChildBudget(Wire::JournalCommand::Reader command, bool execute)
 {
     const auto carve = command.getCarve();
     const Result<ProgramRecord *> parent = this->openProgram(textOf(carve.getProgram()));
--- a/tests/unit/admission_simulation_test.cpp
+++ b/tests/unit/admission_simulation_test.cpp
@@ -9,7 +9,7 @@
 
 #include <capnp/message.h>
 
-#include "admission/bucket_owner_base.h"
+#include "admission/customer_rate_limiter_base.h"
 #include "control/lease_keeper_base.h"
 #include "policy/random_func.h"
 #include "rpc/message_func.h"
@@ -30,7 +30,7 @@
 {
     EntryId id; ///< A restarted process has a new one.
     Epoch lease; ///< As it knows.
-    BucketOwner owner; ///< The code under test.
+    CustomerRateLimiter owner; ///< The code under test.
     std::vector<SlotRecord> slots; ///< Its view.
     std::set<EntryId> leased; ///< Its view.
     Instant freshUntil; ///< Of its view.
@@ -209,7 +209,7 @@
     void handOver(EntryPointer successor)
     {
         const SlotFacts facts{successor->id, &successor->slots, successor->leased};
-        for (const WantedHandover &wanted : successor->owner.tenures.wanted(facts, this->now)) {
+        for (const HandoverRequest &wanted : successor->owner.slotOwnerships.wanted(facts, this->now)) {
             if (wanted.slot != slotOf(this->customer.id.text)) {
                 continue;
             }
@@ -256,7 +256,7 @@
         // Bursts and lulls, so that buckets are both full and empty when faults come.
         const bool lull = (this->now.us / 7'000'000) % 3 == 0;
         const double mean = 1e6 / this->offeredPerSecond * (lull ? 20 : 1);
-        this->at(this->now + Duration(1 + static_cast<std::int64_t>(2 * mean * nextUnit(this->random))), [this]() {
+        this->at(this->now + Duration(1 + static_cast<std::int64_t>(2 * mean * nextUniform(this->random))), [this]() {
             this->load();
         });
     }
@@ -278,7 +278,7 @@
             }
             const bool remote = entry != asker;
             this->inEntry(this->now + (remote ? this->latency() : Duration(0)), entry, remote, [=, this]() {
-                const AdmitVerdict verdict = entry->owner.admit(this->customer, 1, this->now, entry->freshUntil);
+                const AdmissionDecision verdict = entry->owner.admit(this->customer, 1, this->now, entry->freshUntil);
                 this->inEntry(this->now + (remote ? this->latency() : Duration(0)), asker, remote, [=, this]() {
                     this->take(asker, verdict, askedAt);
                 });
@@ -286,10 +286,10 @@
         }
     }
 
-    void take(EntryPointer asker, const AdmitVerdict &verdict, Instant askedAt)
+    void take(EntryPointer asker, const AdmissionDecision &verdict, Instant askedAt)
     {
         if (verdict.delays.empty()) {
-            this->refused += verdict.state == AdmitState::Decided;
+            this->refused += verdict.state == AdmissionState::Decided;
             return;
         }
         const bool timedOut = this->now > askedAt + AskTimeout;
@@ -298,7 +298,7 @@
         }
         const Duration delay = verdict.delays.front();
         this->inEntry(this->now + delay, asker, false, [this, askedAt, delay]() {
-            if (this->now <= askedAt + delay + GrantLife) {
+            if (this->now <= askedAt + delay + GrantTtl) {
                 this->used.push_back(this->now);
             }
         });
--- a/tests/unit/admission_tenure_test.cpp
+++ b/tests/unit/admission_tenure_test.cpp
@@ -4,7 +4,7 @@
 
 #include <capnp/message.h>
 
-#include "admission/bucket_owner_base.h"
+#include "admission/customer_rate_limiter_base.h"
 #include "control/lease_keeper_base.h"
 #include "fleet/fleet_base.h"
 #include "rpc/message_func.h"
@@ -26,17 +26,17 @@
     {
         this->slots[Number] = SlotRecord{std::move(owner), Epoch{epoch}, std::move(former), Epoch{formerEpoch}};
         this->facts = SlotFacts{Self, &this->slots, std::move(leased)};
-        this->tenures.update(this->facts, Instant(ms * 1000));
+        this->slotOwnerships.update(this->facts, Instant(ms * 1000));
     }
     std::int64_t startsInMs(std::int64_t ms)
     {
-        const auto starts = this->tenures.startsIn(Slot, Instant(ms * 1000));
+        const auto starts = this->slotOwnerships.timeUntilGrants(Slot, Instant(ms * 1000));
         return starts ? starts->count() / 1000 : -1;
     }
 
     std::vector<SlotRecord> slots = std::vector<SlotRecord>(SlotCount);
     SlotFacts facts;
-    SlotTenures tenures;
+    SlotOwnershipTable slotOwnerships;
 };
 
 } // namespace
@@ -45,7 +45,7 @@
 {
     this->see(Self, 5, {}, 0, {Self}, 0);
     BOOST_TEST(this->startsInMs(0) == 0);
-    BOOST_TEST((this->tenures.at(Slot).start == TenureStart::Full));
+    BOOST_TEST((this->slotOwnerships.at(Slot).start == InitialBucketLevel::Full));
 }
 
 BOOST_FIXTURE_TEST_CASE(a_successor_waits_for_a_former_owner_that_still_has_its_lease, Fixture)
@@ -53,7 +53,7 @@
     this->see(Other, 5, {}, 0, {Self, Other}, 0);
     this->see(Self, 9, Other, 5, {Self, Other}, 10'000);
     BOOST_TEST(this->startsInMs(10'000) == 3300);
-    BOOST_TEST(this->tenures.wanted(this->facts, Instant(10'000'000)).size() == 1U);
+    BOOST_TEST(this->slotOwnerships.wanted(this->facts, Instant(10'000'000)).size() == 1U);
 }
 
 BOOST_FIXTURE_TEST_CASE(
@@ -82,9 +82,9 @@
 BOOST_FIXTURE_TEST_CASE(a_slot_that_was_given_up_is_not_granted_for_again, Fixture)
 {
     this->see(Self, 5, {}, 0, {Self, Other}, 0);
-    BOOST_TEST(this->tenures.giveUp(Slot, Epoch{5}, Instant(1000)));
+    BOOST_TEST(this->slotOwnerships.giveUp(Slot, Epoch{5}, Instant(1000)));
     BOOST_TEST(this->startsInMs(1) == -1);
-    BOOST_TEST(!this->tenures.giveUp(Slot, Epoch{4}, Instant(1000)));
+    BOOST_TEST(!this->slotOwnerships.giveUp(Slot, Epoch{4}, Instant(1000)));
 }
 
 BOOST_AUTO_TEST_CASE(a_planned_move_hands_the_level_over)
@@ -92,24 +92,24 @@
     const CustomerDeclaration customer{CustomerId{"t"}, 10, 20, 1};
     const SlotId slot = slotOf(customer.id.text);
     std::vector<SlotRecord> slots(SlotCount);
-    BucketOwner before;
-    BucketOwner after;
+    CustomerRateLimiter before;
+    CustomerRateLimiter after;
     slots[slot.value] = SlotRecord{Other, Epoch{5}, {}, Epoch{}};
     before.update(SlotFacts{Other, &slots, {Self, Other}}, Instant(0));
     after.update(SlotFacts{Self, &slots, {Self, Other}}, Instant(0));
     const Instant lease(60'000'000);
     const std::size_t granted = before.admit(customer, 1000, Instant(0), lease).delays.size();
-    BOOST_TEST(granted == 17U + 20U); // 20 less what is earned in GrantLife, and two seconds ahead.
+    BOOST_TEST(granted == 17U + 20U); // 20 less what is earned in GrantTtl, and two seconds ahead.
     slots[slot.value] = SlotRecord{Self, Epoch{9}, Other, Epoch{5}};
     const SlotFacts facts{Self, &slots, {Self, Other}};
     after.update(facts, Instant(1'000'000));
-    BOOST_TEST((after.admit(customer, 1, Instant(1'000'000), lease).state == AdmitState::NotYet));
-    const auto wanted = after.tenures.wanted(facts, Instant(1'000'000));
+    BOOST_TEST((after.admit(customer, 1, Instant(1'000'000), lease).state == AdmissionState::NotYet));
+    const auto wanted = after.slotOwnerships.wanted(facts, Instant(1'000'000));
     BOOST_REQUIRE(wanted.size() == 1U);
     const auto levels = before.giveUp(slot, Epoch{5}, {customer}, Instant(1'000'000));
     BOOST_REQUIRE(levels.has_value());
     after.adopt(wanted[0], *levels, Instant(1'000'000));
-    BOOST_TEST((before.admit(customer, 1, Instant(1'000'000), lease).state == AdmitState::NotOwner));
+    BOOST_TEST((before.admit(customer, 1, Instant(1'000'000), lease).state == AdmissionState::NotOwner));
     // Two seconds were reserved ahead, one has passed: one more second may be reserved.
     BOOST_TEST(after.admit(customer, 1000, Instant(1'000'000), lease).delays.size() == 10U);
 }
@@ -119,12 +119,12 @@
     const CustomerDeclaration customer{CustomerId{"t"}, 10, 20, 1};
     std::vector<SlotRecord> slots(SlotCount);
     slots[slotOf("t").value] = SlotRecord{Self, Epoch{5}, {}, Epoch{}};
-    BucketOwner owner;
+    CustomerRateLimiter owner;
     owner.update(SlotFacts{Self, &slots, {Self}}, Instant(0));
-    const AdmitVerdict verdict = owner.admit(customer, 1000, Instant(0), Instant(500'000));
+    const AdmissionDecision verdict = owner.admit(customer, 1000, Instant(0), Instant(500'000));
     BOOST_TEST(verdict.delays.size() == 17U + 5U);
     BOOST_TEST((verdict.delays.back() <= Duration(500'000)));
-    BOOST_TEST((owner.admit(customer, 1, Instant(600'000), Instant(500'000)).state == AdmitState::NotYet));
+    BOOST_TEST((owner.admit(customer, 1, Instant(600'000), Instant(500'000)).state == AdmissionState::NotYet));
 }
 
 BOOST_AUTO_TEST_CASE(a_lease_whose_end_was_proposed_is_not_renewed_but_a_later_one_is)
--- a/tests/unit/policy_queue_test.cpp
+++ b/tests/unit/policy_queue_test.cpp
@@ -2,7 +2,7 @@
 #define BOOST_TEST_MODULE policy_queue
 #include <boost/test/unit_test.hpp>
 
-#include "policy/permit_ledger_base.h"
+#include "policy/permit_table_base.h"
 #include "policy/random_func.h"
 
 using namespace Chestnuthook;
@@ -12,9 +12,9 @@
 
 const EndpointId Engine{"127.0.0.1:1"};
 
-WaitingCall callOf(const char *customer, double attained, std::int64_t arrivedMs, double tokens = 100)
+QueuedCall callOf(const char *customer, double attained, std::int64_t arrivedMs, double tokens = 100)
 {
-    WaitingCall call;
+    QueuedCall call;
     call.customer = CustomerId{customer};
     call.attainedTokens = attained;
     call.expectedTokens = tokens;
@@ -31,8 +31,8 @@
 
 BOOST_AUTO_TEST_CASE(the_program_with_the_most_service_goes_first_but_a_long_wait_overtakes)
 {
-    PermitLedger ledger;
-    ledger.setBound(Engine, 1);
+    PermitTable ledger;
+    ledger.setMaxInFlight(Engine, 1);
     BOOST_TEST((ledger.ask(Engine, keyOf(1), callOf("a", 0, 0)) == PermitState::Running));
     BOOST_TEST((ledger.ask(Engine, keyOf(2), callOf("a", 100, 0)) == PermitState::Waiting));
     ledger.ask(Engine, keyOf(3), callOf("a", 5000, 1000));
@@ -49,8 +49,8 @@
 
 BOOST_AUTO_TEST_CASE(tenants_are_served_by_weight_and_idle_time_earns_nothing)
 {
-    PermitLedger ledger;
-    ledger.setBound(Engine, 1);
+    PermitTable ledger;
+    ledger.setMaxInFlight(Engine, 1);
     ledger.fairness.setWeight(CustomerId{"big"}, 3);
     ledger.fairness.setWeight(CustomerId{"small"}, 1);
     std::uint64_t next = 1;
@@ -88,11 +88,11 @@
 
 BOOST_AUTO_TEST_CASE(overload_sheds_the_newest_call_of_the_tenant_above_its_share)
 {
-    EndpointQueue<MostAttained> queue(EndpointBounds{1, 4, true});
+    EndpointQueue<MostAttainedService> queue(EndpointLimits{1, 4, true});
     FairCounters fairness;
     std::uint64_t id = 1;
     const auto push = [&](const char *customer) {
-        WaitingCall call = callOf(customer, 0, static_cast<std::int64_t>(id));
+        QueuedCall call = callOf(customer, 0, static_cast<std::int64_t>(id));
         call.id = id++;
         return queue.push(call, fairness);
     };
@@ -106,10 +106,10 @@
 
 BOOST_AUTO_TEST_CASE(an_isolated_call_runs_alone)
 {
-    PermitLedger ledger;
-    ledger.setBound(Engine, 8);
+    PermitTable ledger;
+    ledger.setMaxInFlight(Engine, 8);
     ledger.ask(Engine, keyOf(1), callOf("a", 0, 0));
-    WaitingCall suspect = callOf("a", 0, 1);
+    QueuedCall suspect = callOf("a", 0, 1);
     suspect.isolated = true;
     BOOST_TEST((ledger.ask(Engine, keyOf(2), suspect) == PermitState::Waiting));
     BOOST_TEST((ledger.ask(Engine, keyOf(3), callOf("a", 0, 2)) == PermitState::Waiting));
@@ -122,8 +122,8 @@
 
 BOOST_AUTO_TEST_CASE(a_permit_counts_once_whatever_is_resent_lost_or_overtaken)
 {
-    PermitLedger ledger;
-    ledger.setBound(Engine, 2);
+    PermitTable ledger;
+    ledger.setMaxInFlight(Engine, 2);
     for (int resend = 0; resend < 3; ++resend) {
         BOOST_TEST((ledger.ask(Engine, keyOf(1), callOf("a", 0, 0)) == PermitState::Running));
     }
@@ -139,16 +139,16 @@
 
 BOOST_AUTO_TEST_CASE(permits_of_an_entry_whose_lease_ended_return_and_running_ones_are_told_to_a_new_dispatcher)
 {
-    PermitLedger ledger;
-    ledger.setBound(Engine, 2);
+    PermitTable ledger;
+    ledger.setMaxInFlight(Engine, 2);
     ledger.ask(Engine, keyOf(1, "dead"), callOf("a", 0, 0));
     ledger.ask(Engine, keyOf(2, "dead"), callOf("a", 0, 0));
     ledger.ask(Engine, keyOf(3), callOf("a", 0, 0));
-    ledger.keepOnly({EntryId{"entry-1"}});
+    ledger.releaseUnleased({EntryId{"entry-1"}});
     BOOST_TEST((ledger.takeGranted() == std::vector<PermitKey>{keyOf(3)}));
     BOOST_TEST(ledger.inFlight(Engine) == 1U);
-    PermitLedger next;
-    next.setBound(Engine, 1);
+    PermitTable next;
+    next.setMaxInFlight(Engine, 1);
     next.adopt(Engine, keyOf(3), callOf("a", 0, 0));
     next.adopt(Engine, keyOf(3), callOf("a", 0, 0));
     BOOST_TEST(next.inFlight(Engine) == 1U);
@@ -159,13 +159,13 @@
 {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         std::uint64_t random = seed;
-        PermitLedger ledger;
-        ledger.setBound(Engine, 4);
+        PermitTable ledger;
+        ledger.setMaxInFlight(Engine, 4);
         std::set<PermitKey> running;
         for (int i = 0; i < 3000; ++i) {
             const PermitKey key = keyOf(nextRandom(random) % 400, nextRandom(random) % 2 == 0 ? "x" : "y");
             if (nextRandom(random) % 2 == 0) {
-                WaitingCall call = callOf(nextRandom(random) % 3 == 0 ? "a" : "b", 0, i);
+                QueuedCall call = callOf(nextRandom(random) % 3 == 0 ? "a" : "b", 0, i);
                 call.isolated = nextRandom(random) % 10 == 0;
                 if (ledger.ask(Engine, key, call) == PermitState::Running) {
                     running.insert(key);
--- a/tests/unit/policy_retry_test.cpp
+++ b/tests/unit/policy_retry_test.cpp
@@ -18,7 +18,7 @@
         RetryBudget budget;
         for (int call = 0; call < CallsPerEntry; ++call) {
             budget.onAttempt();
-            while (nextUnit(random) < 1.0 / 3 && budget.take()) {
+            while (nextUniform(random) < 1.0 / 3 && budget.take()) {
                 budget.onAttempt();
                 ++retries;
             }
