--- a/src/admission/customer_rate_limiter_base.cpp
+++ b/src/admission/customer_rate_limiter_base.cpp
@@ -1,4 +1,4 @@
-/** @file customer_rate_limiter_base.cpp  Granting at the owner of a customer's slot. */
+/** @file customer_rate_limiter_base.cpp  Admission decisions at the owner of a customer's slot. */
 #include "admission/customer_rate_limiter_base.h"
 
 #include <algorithm>
@@ -18,15 +18,15 @@
     const SlotOwnership &ownership = this->slotOwnerships.at(slot);
     auto found = this->buckets.find(customer.id);
     if (found == this->buckets.end() || found->second.epoch != ownership.epoch) {
-        const Instant begin = ownership.grantsStartAt.value_or(now);
-        OwnedBucket owned{ownership.epoch, TokenBucket(begin)};
-        owned.bucket.declare(customer.ratePerSecond, customer.burst, begin);
-        if (ownership.start == InitialBucketLevel::Full) {
+        const Instant bucketStart = ownership.grantsStartAt.value_or(now);
+        OwnedBucket owned{ownership.epoch, TokenBucket(bucketStart)};
+        owned.bucket.declare(customer.ratePerSecond, customer.burst, bucketStart);
+        if (ownership.initialLevel == InitialBucketLevel::Full) {
             owned.bucket.fill();
         }
-        const auto level = this->adopted.find(customer.id);
-        if (level != this->adopted.end() && level->second.first == ownership.epoch) {
-            owned.bucket.adopt(level->second.second, begin);
+        const auto level = this->transferredLevels.find(customer.id);
+        if (level != this->transferredLevels.end() && level->second.first == ownership.epoch) {
+            owned.bucket.restore(level->second.second, bucketStart);
         }
         found = this->buckets.insert_or_assign(customer.id, owned).first;
     }
@@ -38,37 +38,37 @@
     const CustomerDeclaration &customer, std::uint32_t count, Instant now, Instant leaseEnd)
 {
     const SlotId slot = slotOf(customer.id.text);
-    AdmissionDecision verdict;
+    AdmissionDecision decision;
     const std::optional<Duration> timeUntilGrants = this->slotOwnerships.timeUntilGrants(slot, now);
     if (!timeUntilGrants) {
-        verdict.state = AdmissionState::NotOwner;
-        return verdict;
+        decision.state = AdmissionState::NotOwner;
+        return decision;
     }
     if (*timeUntilGrants > Duration(0) || leaseEnd <= now) {
-        verdict.state = AdmissionState::NotYet;
-        verdict.retryAfter = *timeUntilGrants;
-        return verdict;
+        decision.state = AdmissionState::NotYet;
+        decision.retryAfter = *timeUntilGrants;
+        return decision;
     }
     TokenBucket &bucket = this->bucketOf(customer, slot, now);
     const Duration maxDelay = std::min(MaxAdmissionDelay, leaseEnd - now);
-    while (verdict.delays.size() < count) {
+    while (decision.delays.size() < count) {
         const std::optional<Duration> delay = bucket.reserve(now, maxDelay);
         if (!delay) {
             const SlotOwnership &ownership = this->slotOwnerships.at(slot);
-            verdict.retryAfter = std::max(Duration(1000), bucket.waitFor(now) - maxDelay);
-            verdict.recovering =
-                ownership.start == InitialBucketLevel::Empty && now < *ownership.grantsStartAt + RecoveryPeriod;
+            decision.retryAfter = std::max(Duration(1000), bucket.waitFor(now) - maxDelay);
+            decision.recovering =
+                ownership.initialLevel == InitialBucketLevel::Empty && now < *ownership.grantsStartAt + RecoveryPeriod;
             break;
         }
-        verdict.delays.push_back(*delay);
+        decision.delays.push_back(*delay);
     }
-    return verdict;
+    return decision;
 }
 
 std::optional<std::vector<BucketLevel>> CustomerRateLimiter::giveUp(
     SlotId slot, Epoch epoch, const std::vector<CustomerDeclaration> &customersOfSlot, Instant now)
 {
-    const bool present = this->slotOwnerships.at(slot).epoch == epoch;
+    const bool isCurrentEpoch = this->slotOwnerships.at(slot).epoch == epoch;
     if (!this->slotOwnerships.giveUp(slot, epoch, now)) {
         return std::nullopt;
     }
@@ -77,7 +77,7 @@
         const auto found = this->buckets.find(customer.id);
         if (found != this->buckets.end() && found->second.epoch == epoch) {
             levels.push_back({customer.id, found->second.bucket.levelAt(now)});
-        } else if (present) {
+        } else if (isCurrentEpoch) {
             levels.push_back({customer.id, this->bucketOf(customer, slot, now).levelAt(now)});
         } else {
             levels.push_back({customer.id, 0});
@@ -92,7 +92,7 @@
         return;
     }
     for (const BucketLevel &level : levels) {
-        this->adopted[level.customer] = {handover.epoch, level.level};
+        this->transferredLevels[level.customer] = {handover.epoch, level.level};
     }
 }
 
--- a/src/admission/customer_rate_limiter_base.h
+++ b/src/admission/customer_rate_limiter_base.h
@@ -1,5 +1,5 @@
-/** @file customer_rate_limiter_base.h  The buckets of the customers whose slots this entry owns. Pure: no I/O, no
- * clock. */
+/** @file customer_rate_limiter_base.h  Rate limiting of the customers whose slots this entry owns. Does no I/O and
+ * reads no clock. */
 #pragma once
 
 #include <cstdint>
@@ -15,68 +15,73 @@
 namespace Chestnuthook
 {
 
-/** How long a request may be held until it falls due. Past that it is refused at once, with when to come back. */
+/** Longest time for which a request is delayed to stay within the rate. A request that would have to wait longer is
+ * refused at once, with a time after which to retry. */
 constexpr Duration MaxAdmissionDelay = std::chrono::milliseconds(2000);
 
-/** How long after an empty start requests may wait for more than MaxAdmissionDelay: those that came while the slot had
- * no owner are inside the rate, but late. */
+/** Time after a start with empty buckets during which a refused request may be retried by its entry. Requests that
+ * arrived while the slot had no owner are within the rate, but their grants fall due later than MaxAdmissionDelay. */
 constexpr Duration RecoveryPeriod = std::chrono::milliseconds(10'000);
 
+/** Outcome of a request for admission. */
 enum class AdmissionState : std::uint8_t {
-    Decided, ///< Each request was granted or is over the rate.
+    Decided, ///< Each request is either granted or over the rate.
     NotOwner, ///< Another entry owns the customer's slot.
-    NotYet, ///< This entry may not grant for now; ask again.
+    NotYet, ///< This entry may not grant at present; ask again later.
 };
 
-/** The answer to a batch of requests of one customer. */
+/** Decision on a batch of requests of one customer. */
 struct AdmissionDecision
 {
-    AdmissionState state = AdmissionState::Decided; ///< Whether the rest counts.
-    std::vector<Duration> delays; ///< One for each granted request: how long to hold it.
-    Duration retryAfter{0}; ///< For those not granted.
-    bool recovering = false; ///< Those not granted may be asked for again: the owner changed a short while ago.
+    AdmissionState state = AdmissionState::Decided; ///< Delays are set for Decided only.
+    std::vector<Duration> delays; ///< Delay of each granted request before it may proceed.
+    Duration retryAfter{0}; ///< When to retry requests that are not granted.
+    bool recovering = false; ///< Requests that are not granted may be retried, because the slot changed owner recently.
 };
 
-/** What one bucket held when its owner stopped. */
+/** Level of one bucket at the time when its owner stopped granting. */
 struct BucketLevel
 {
-    CustomerId customer; ///< Whose it is.
-    double level = 0; ///< Below zero where requests are reserved ahead.
+    CustomerId customer; ///< Customer of the bucket.
+    double level = 0; ///< In requests; below zero if requests are reserved ahead of time.
 };
 
+/** Holds one token bucket for each customer whose slot this entry owns. */
 class CustomerRateLimiter
 {
 public:
-    /** Finds the declaration of a customer; null where it is not declared. */
+    /** Finds the declaration of a customer; null if the customer is not declared. */
     using CustomerLookup = std::function<const CustomerDeclaration *(const CustomerId &)>;
 
-    /** Takes in a newer view. */
+    /** Updates the ownership of slots from a newer view of the fleet. */
     void update(const SlotFacts &facts, Instant now);
 
-    /** Decides on @p count requests of @p customer. @p leaseEnd is until when this entry's view may be relied on:
-     * nothing is granted that falls due later. */
+    /** Decides on @p count requests of @p customer. This entry's view is valid until @p leaseEnd, so no request is
+     * granted that falls due later. */
     AdmissionDecision admit(const CustomerDeclaration &customer, std::uint32_t count, Instant now, Instant leaseEnd);
 
-    /** Stops for @p slot and tells what the buckets hold. Nothing where the successor has to wait. */
+    /** Stops granting for @p slot under @p epoch. @return the levels of its buckets; nothing if the successor has to
+     * wait for FormerOwnerTimeout. */
     std::optional<std::vector<BucketLevel>> giveUp(
         SlotId slot, Epoch epoch, const std::vector<CustomerDeclaration> &customersOfSlot, Instant now);
 
-    /** Begins with what the former owner's buckets held. */
+    /** Starts granting with the bucket levels of the former owner. */
     void adopt(const HandoverRequest &handover, const std::vector<BucketLevel> &levels, Instant now);
 
-    SlotOwnershipTable slotOwnerships; ///< Which slots this entry owns, and from when.
+    SlotOwnershipTable slotOwnerships; ///< Slots that this entry owns, and when it may start granting for them.
 
 private:
+    /** Bucket of @p customer under the current epoch of @p slot; created on first use. */
     TokenBucket &bucketOf(const CustomerDeclaration &customer, SlotId slot, Instant now);
 
-    /** A bucket and the ownership that it belongs to. */
+    /** A bucket and the epoch of the slot in which it is valid. */
     struct OwnedBucket
     {
-        Epoch epoch; ///< Of the slot when the bucket was made; a bucket is never used under another.
-        TokenBucket bucket; ///< Of one customer.
+        Epoch epoch; ///< Epoch of the slot at creation; the bucket is never used under another epoch.
+        TokenBucket bucket; ///< Bucket of one customer.
     };
-    std::map<CustomerId, OwnedBucket> buckets; ///< Made on first use.
-    std::map<CustomerId, std::pair<Epoch, double>> adopted; ///< Levels taken over, until the bucket is made.
+    std::map<CustomerId, OwnedBucket> buckets; ///< Created on first use.
+    std::map<CustomerId, std::pair<Epoch, double>> transferredLevels; ///< Epoch and level from the former owner.
 };
 
 } // namespace Chestnuthook
--- a/src/admission/slot_ownership_base.cpp
+++ b/src/admission/slot_ownership_base.cpp
@@ -1,4 +1,4 @@
-/** @file slot_ownership_base.cpp  Rules of the change of a slot's owner. */
+/** @file slot_ownership_base.cpp  Change of a slot's owner. */
 #include "admission/slot_ownership_base.h"
 
 #include <algorithm>
@@ -11,10 +11,10 @@
 {
 }
 
-void SlotOwnershipTable::gain(SlotOwnership &ownership, Instant now) const
+void SlotOwnershipTable::startOwnership(SlotOwnership &ownership, Instant now) const
 {
     const bool first = ownership.formerEpoch.value == 0;
-    ownership.start = first ? InitialBucketLevel::Full : InitialBucketLevel::Empty;
+    ownership.initialLevel = first ? InitialBucketLevel::Full : InitialBucketLevel::Empty;
     ownership.grantsStartAt = first ? now : now + FormerOwnerTimeout;
 }
 
@@ -26,11 +26,11 @@
         SlotOwnership &ownership = this->slotOwnerships[number];
         if (record.epoch > ownership.epoch) {
             if (ownership.grantsStartAt && *ownership.grantsStartAt <= now) {
-                ownership.stopped = ownership.epoch;
-                ownership.stoppedAt = now;
+                ownership.lastGrantingEpoch = ownership.epoch;
+                ownership.lastGrantingEpochEndedAt = now;
             }
-            ownership.earlierEpoch = ownership.epoch;
-            ownership.earlierSeenAt = ownership.seenAt;
+            ownership.previousEpoch = ownership.epoch;
+            ownership.previousEpochSeenAt = ownership.seenAt;
             ownership.owner = record.owner;
             ownership.epoch = record.epoch;
             ownership.seenAt = now;
@@ -38,17 +38,17 @@
             ownership.formerEpoch = record.formerEpoch;
             ownership.grantsStartAt.reset();
             if (record.owner == facts.self) {
-                this->gain(ownership, now);
+                this->startOwnership(ownership, now);
                 gained.push_back(SlotId{number});
             }
         }
-        // The leader ends a lease only after its holder's view has run out, so nothing is granted under it any more.
-        // Owners before that one had lost the slot when this entry first saw the former epoch.
-        const bool waits = ownership.grantsStartAt && *ownership.grantsStartAt > now;
-        const bool formerGone = ownership.former.empty() || !facts.leased.contains(ownership.former);
-        if (waits && formerGone && ownership.earlierEpoch == ownership.formerEpoch) {
+        // The leader ends a lease only after the view of its holder has expired, so the former owner no longer grants.
+        // Earlier owners had lost the slot by the time when this entry first saw the former epoch.
+        const bool isWaiting = ownership.grantsStartAt && *ownership.grantsStartAt > now;
+        const bool formerExpired = ownership.former.empty() || !facts.leased.contains(ownership.former);
+        if (isWaiting && formerExpired && ownership.previousEpoch == ownership.formerEpoch) {
             ownership.grantsStartAt =
-                std::min(*ownership.grantsStartAt, std::max(now, ownership.earlierSeenAt + FormerOwnerTimeout));
+                std::min(*ownership.grantsStartAt, std::max(now, ownership.previousEpochSeenAt + FormerOwnerTimeout));
         }
     }
     return gained;
@@ -56,25 +56,26 @@
 
 std::vector<HandoverRequest> SlotOwnershipTable::wanted(const SlotFacts &facts, Instant now) const
 {
-    std::vector<HandoverRequest> found;
+    std::vector<HandoverRequest> requests;
     for (std::uint16_t number = 0; number < SlotCount; ++number) {
         const SlotOwnership &ownership = this->slotOwnerships[number];
-        const bool waits = ownership.grantsStartAt && *ownership.grantsStartAt > now;
-        if (waits && ownership.former != facts.self && facts.leased.contains(ownership.former)) {
-            found.push_back({SlotId{number}, ownership.epoch, ownership.former, ownership.formerEpoch});
+        const bool isWaiting = ownership.grantsStartAt && *ownership.grantsStartAt > now;
+        if (isWaiting && ownership.former != facts.self && facts.leased.contains(ownership.former)) {
+            requests.push_back({SlotId{number}, ownership.epoch, ownership.former, ownership.formerEpoch});
         }
     }
-    return found;
+    return requests;
 }
 
 bool SlotOwnershipTable::adopt(const HandoverRequest &handover, Instant now)
 {
     SlotOwnership &ownership = this->slotOwnerships[handover.slot.value];
-    const bool waits = ownership.epoch == handover.epoch && ownership.grantsStartAt && *ownership.grantsStartAt > now;
-    if (!waits) {
+    const bool isWaiting =
+        ownership.epoch == handover.epoch && ownership.grantsStartAt && *ownership.grantsStartAt > now;
+    if (!isWaiting) {
         return false;
     }
-    ownership.start = InitialBucketLevel::Adopted;
+    ownership.initialLevel = InitialBucketLevel::Adopted;
     ownership.grantsStartAt = now;
     return true;
 }
@@ -86,16 +87,16 @@
         if (!ownership.grantsStartAt || *ownership.grantsStartAt > now) {
             return false;
         }
-        ownership.givenUp = std::max(ownership.givenUp, epoch);
+        ownership.givenUpEpoch = std::max(ownership.givenUpEpoch, epoch);
         return true;
     }
-    return ownership.stopped == epoch;
+    return ownership.lastGrantingEpoch == epoch;
 }
 
 std::optional<Duration> SlotOwnershipTable::timeUntilGrants(SlotId slot, Instant now) const
 {
     const SlotOwnership &ownership = this->slotOwnerships[slot.value];
-    if (!ownership.grantsStartAt || ownership.givenUp >= ownership.epoch) {
+    if (!ownership.grantsStartAt || ownership.givenUpEpoch >= ownership.epoch) {
         return std::nullopt;
     }
     return std::max(Duration(0), *ownership.grantsStartAt - now);
--- a/src/admission/slot_ownership_base.h
+++ b/src/admission/slot_ownership_base.h
@@ -1,5 +1,5 @@
-/** @file slot_ownership_base.h  From when this entry may grant for a slot that it gained: never while the former owner
- * may still grant. */
+/** @file slot_ownership_base.h  When this entry may start granting for a slot that it gained: never while the former
+ * owner may still grant. */
 #pragma once
 
 #include <cstdint>
@@ -14,70 +14,73 @@
 namespace Chestnuthook
 {
 
-/** How long after a move was seen its former owner may still hold a view from before it: its freshness bound (3 s from
- * when it sent the read), and a margin for clocks that run at different rates. */
+/** Time after this entry saw a change of owner until the former owner no longer acts on a view from before the change.
+ * Consists of the freshness bound of a view (3 s from the time when the read was sent) and a margin for clocks that run
+ * at different rates. */
 constexpr Duration FormerOwnerTimeout = std::chrono::milliseconds(3300);
 
-/** What an entry knows of the fleet, as far as slots go. */
+/** The part of an entry's view of the fleet that decides on ownership of slots. */
 struct SlotFacts
 {
     EntryId self; ///< This entry.
     const std::vector<SlotRecord> *slots = nullptr; ///< By slot number.
-    std::set<EntryId> leased; ///< Entries with a lease.
+    std::set<EntryId> leased; ///< Entries that hold a lease.
 };
 
-/** A former owner that may be asked to stop and to tell what its buckets hold. */
+/** A request to a former owner to stop granting and to report the levels of its buckets. */
 struct HandoverRequest
 {
-    SlotId slot; ///< Gained by this entry.
-    Epoch epoch; ///< Under which this entry owns it.
-    EntryId former; ///< Who owned it before.
-    Epoch formerEpoch; ///< Under which it did.
+    SlotId slot; ///< Slot that this entry gained.
+    Epoch epoch; ///< Epoch under which this entry owns the slot.
+    EntryId former; ///< Former owner.
+    Epoch formerEpoch; ///< Epoch of the former owner.
 };
 
+/** Level with which the buckets of a gained slot start. */
 enum class InitialBucketLevel : std::uint8_t {
     Full, ///< The slot never had an owner before.
-    Empty, ///< The former owner's lease ran out, or it may have granted until now.
-    Adopted, ///< The former owner stopped and told what was left.
+    Empty, ///< The former owner may have granted until now, or its lease expired without a handover.
+    Adopted, ///< The former owner stopped granting and reported its levels.
 };
 
-/** One slot as this entry sees it. */
+/** Ownership of one slot, as this entry sees it. */
 struct SlotOwnership
 {
-    EntryId owner; ///< Present owner.
-    Epoch epoch; ///< Of the present owner.
-    Instant seenAt; ///< When this entry first saw `epoch`.
-    Epoch earlierEpoch; ///< The epoch that this entry saw before; 0 for none.
-    Instant earlierSeenAt; ///< When it first saw that one.
-    EntryId former; ///< Owner before the present one, by the fleet state.
-    Epoch formerEpoch; ///< Its epoch, by the fleet state.
-    std::optional<Instant> grantsStartAt; ///< Set while this entry owns the slot.
-    InitialBucketLevel start = InitialBucketLevel::Empty; ///< What the buckets begin with.
-    Epoch givenUp; ///< Highest epoch under which this entry has stopped for a successor.
-    Epoch stopped; ///< Epoch under which this entry last granted, after the slot moved on; 0 for none.
-    Instant stoppedAt; ///< When it saw that the slot had moved on.
+    EntryId owner; ///< Current owner.
+    Epoch epoch; ///< Epoch of the current owner.
+    Instant seenAt; ///< Time when this entry first saw `epoch`.
+    Epoch previousEpoch; ///< Epoch that this entry saw before `epoch`; 0 for none.
+    Instant previousEpochSeenAt; ///< Time when this entry first saw `previousEpoch`.
+    EntryId former; ///< Owner before the current one, from the fleet state.
+    Epoch formerEpoch; ///< Epoch of `former`, from the fleet state.
+    std::optional<Instant> grantsStartAt; ///< Time from which this entry may grant; set while it owns the slot.
+    InitialBucketLevel initialLevel = InitialBucketLevel::Empty; ///< Level at which the buckets start.
+    Epoch givenUpEpoch; ///< Highest epoch under which this entry stopped granting at the request of a successor.
+    Epoch lastGrantingEpoch; ///< Last epoch in which this entry granted before it lost the slot; 0 for none.
+    Instant lastGrantingEpochEndedAt; ///< Time when this entry saw that the slot had another epoch.
 };
 
-/** All slots; pure. */
+/** Ownership of all slots. Does no I/O and reads no clock. */
 class SlotOwnershipTable
 {
 public:
     SlotOwnershipTable();
 
-    /** Takes in a newer view. @return slots that this entry has just gained. */
+    /** Updates the table from a newer view of the fleet. @return slots that this entry gained. */
     std::vector<SlotId> update(const SlotFacts &facts, Instant now);
 
-    /** Handovers that would let this entry begin sooner. */
+    /** Handovers that would let this entry start granting before FormerOwnerTimeout has passed. */
     [[nodiscard]] std::vector<HandoverRequest> wanted(const SlotFacts &facts, Instant now) const;
 
-    /** The former owner has stopped: this entry begins now. @return false where the slot has moved on meanwhile. */
+    /** Starts granting now, as the former owner has stopped. @return false if the slot has changed owner in the
+     * meantime, or this entry grants already. */
     bool adopt(const HandoverRequest &handover, Instant now);
 
-    /** Stops granting for @p slot under @p epoch for good.
-     * @return false where this entry did not grant under it, so that the successor has to wait. */
+    /** Stops granting for @p slot under @p epoch permanently.
+     * @return false if this entry was not granting under @p epoch, so that the successor has to wait. */
     bool giveUp(SlotId slot, Epoch epoch, Instant now);
 
-    /** How long until this entry grants for @p slot; nothing where it doesn't own it. */
+    /** Time until this entry may grant for @p slot; nothing if it does not own the slot or has given it up. */
     [[nodiscard]] std::optional<Duration> timeUntilGrants(SlotId slot, Instant now) const;
 
     [[nodiscard]] const SlotOwnership &at(SlotId slot) const
@@ -86,7 +89,8 @@
     }
 
 private:
-    void gain(SlotOwnership &ownership, Instant now) const;
+    /** Sets when and at which level this entry starts granting for a slot that it gained. */
+    void startOwnership(SlotOwnership &ownership, Instant now) const;
 
     std::vector<SlotOwnership> slotOwnerships; ///< By slot number.
 };
--- a/src/admission/token_bucket_type.h
+++ b/src/admission/token_bucket_type.h
@@ -1,4 +1,4 @@
-/** @file token_bucket_type.h  A customer's rate and burst as one bucket, in which requests may be reserved ahead. */
+/** @file token_bucket_type.h  Token bucket for one customer's rate and burst. Requests can be reserved ahead. */
 #pragma once
 
 #include <algorithm>
@@ -9,22 +9,23 @@
 namespace Chestnuthook
 {
 
-/** How long after it fell due a grant may be used. Requests bunch by at most this much, so the bucket holds as much
- * less than the declared burst as is earned in this time. */
+/** Time after its due time during which a grant may be used. Grants that fell due within this interval may be used at
+ * the same moment, so the capacity of a bucket is the declared burst less the refill of this interval. */
 constexpr Duration GrantTtl = std::chrono::milliseconds(250);
 
-/** Invariant: over every window w, at most burst + rate * w grants are used, where each is used within GrantTtl after
- * it falls due: grants due in a window v are at most capacity + rate * v, and v <= w + GrantTtl. */
+/** Invariant: in every window of length w, at most burst + rate * w grants are used. Each grant is used within GrantTtl
+ * after its due time, so the grants used in the window fell due in a window of length v <= w + GrantTtl, and at most
+ * capacity + rate * v grants fall due in that one. */
 class TokenBucket
 {
 public:
-    /** A bucket that begins empty. */
+    /** Creates an empty bucket. */
     explicit TokenBucket(Instant now)
-        : updated(now)
+        : updatedAt(now)
     {
     }
 
-    /** Sets the declared rate (per second) and burst; what is in the bucket stays, up to the capacity. */
+    /** Sets the declared rate (requests per second) and burst (requests). The level is kept, up to the new capacity. */
     void declare(double newRate, double newBurst, Instant now)
     {
         this->refill(now);
@@ -33,21 +34,23 @@
         this->level = std::min(this->level, this->capacity);
     }
 
-    /** Fills it; only where no other bucket of this customer was ever in use. */
+    /** Fills the bucket. Only valid if no other bucket of this customer was ever in use. */
     void fill()
     {
         this->level = this->capacity;
     }
 
-    /** Takes over what another owner's bucket held when it stopped; below zero where requests are reserved ahead. */
-    void adopt(double otherLevel, Instant now)
+    /** Sets the level that the former owner's bucket had when it stopped granting; below zero if requests are reserved
+     * ahead of time. */
+    void restore(double formerLevel, Instant now)
     {
-        this->updated = now;
-        this->level = std::min(this->capacity, otherLevel);
+        this->updatedAt = now;
+        this->level = std::min(this->capacity, formerLevel);
     }
 
-    /** Takes one request out, ahead of time where need be.
-     * @return how long from @p now the request is to be held; nothing is taken where that is over @p maxDelay. */
+    /** Takes one request out of the bucket, ahead of time if necessary.
+     * @return the delay from @p now until the request falls due; nothing if that exceeds @p maxDelay, in which case the
+     * bucket is unchanged. */
     std::optional<Duration> reserve(Instant now, Duration maxDelay)
     {
         const Duration delay = this->waitFor(now);
@@ -58,13 +61,13 @@
         return delay;
     }
 
-    /** Takes one request out. @return false where there is none now. */
+    /** Takes one request out of the bucket. @return false if none is available now. */
     bool take(Instant now)
     {
         return this->reserve(now, Duration(0)).has_value();
     }
 
-    /** How long until one more request falls due. */
+    /** Time until one more request falls due; zero if the rate is zero. */
     [[nodiscard]] Duration waitFor(Instant now)
     {
         this->refill(now);
@@ -74,34 +77,34 @@
         return Duration(static_cast<Duration::rep>((1 - this->level) / this->rate * 1e6) + 1);
     }
 
-    /** What it holds at @p now. */
+    /** Level at @p now, in requests. */
     [[nodiscard]] double levelAt(Instant now)
     {
         this->refill(now);
         return this->level;
     }
 
-    /** The most that a bucket of @p rate and @p burst holds; at least one request. */
+    /** Capacity of a bucket with @p rate and @p burst; at least one request if the burst allows one. */
     [[nodiscard]] static double capacityOf(double rate, double burst)
     {
-        const double life = static_cast<double>(GrantTtl.count()) / 1e6;
-        return std::max(std::min(burst, 1.0), burst - rate * life);
+        const double ttlSeconds = static_cast<double>(GrantTtl.count()) / 1e6;
+        return std::max(std::min(burst, 1.0), burst - rate * ttlSeconds);
     }
 
 private:
     void refill(Instant now)
     {
-        if (now > this->updated) {
-            const double seconds = static_cast<double>((now - this->updated).count()) / 1e6;
+        if (now > this->updatedAt) {
+            const double seconds = static_cast<double>((now - this->updatedAt).count()) / 1e6;
             this->level = std::min(this->capacity, this->level + seconds * this->rate);
-            this->updated = now;
+            this->updatedAt = now;
         }
     }
 
     double rate = 0; ///< Requests per second.
     double capacity = 0; ///< Upper bound of `level`.
-    double level = 0; ///< Requests that may come now; below zero where some are reserved ahead.
-    Instant updated; ///< When `level` was right.
+    double level = 0; ///< Requests available at `updatedAt`; below zero if some are reserved ahead of time.
+    Instant updatedAt; ///< Time at which `level` was computed.
 };
 
 } // namespace Chestnuthook
--- a/tests/unit/admission_simulation_test.cpp
+++ b/tests/unit/admission_simulation_test.cpp
@@ -1,5 +1,6 @@
-/** @file admission_simulation_test.cpp  The fleet-wide bound on a customer's requests under owner kill, pause,
- * isolation and slot moves at once: real fleet state, lease keeper and buckets in virtual time, with fixed seeds. */
+/** @file admission_simulation_test.cpp  Simulation of the fleet-wide rate limit of one customer while owners of its
+ * slot are killed, paused, isolated and replaced. Runs the real fleet state, lease keeper and buckets in virtual time
+ * with fixed seeds. */
 #define BOOST_TEST_MODULE admission_simulation
 #include <boost/test/unit_test.hpp>
 
@@ -25,23 +26,23 @@
 constexpr Duration AskTimeout = 500 * Ms;
 constexpr Duration RunTime = 90'000 * Ms;
 
-/** An entry process as the network and the scheduler treat it. */
+/** An entry process, with the faults that the network and the operating system impose on it. */
 struct SimulatedEntry
 {
-    EntryId id; ///< A restarted process has a new one.
-    Epoch lease; ///< As it knows.
-    CustomerRateLimiter owner; ///< The code under test.
-    std::vector<SlotRecord> slots; ///< Its view.
-    std::set<EntryId> leased; ///< Its view.
-    Instant freshUntil; ///< Of its view.
-    Instant pausedUntil; ///< Nothing runs in it before.
-    Instant isolatedUntil; ///< No message reaches or leaves it before.
-    bool draining = false; ///< Asks for no slots.
-    bool dead = false; ///< Was killed.
+    EntryId id; ///< Each process has its own; none is reused after a restart.
+    Epoch lease; ///< Epoch of its lease, as far as it knows.
+    CustomerRateLimiter owner; ///< Code under test.
+    std::vector<SlotRecord> slots; ///< Slots in its view.
+    std::set<EntryId> leased; ///< Entries with a lease in its view.
+    Instant freshUntil; ///< Time until which its view is valid.
+    Instant pausedUntil; ///< The process does not run before this time.
+    Instant isolatedUntil; ///< No message reaches or leaves the process before this time.
+    bool draining = false; ///< The entry asks to own no slots.
+    bool dead = false; ///< The process was killed.
 };
 using EntryPointer = std::shared_ptr<SimulatedEntry>;
 
-/** How the run differs from the real rules; to show that the check sees the failure. */
+/** Rules of a run. BucketPerEntry breaks the limit, to show that the check detects that. */
 enum class Rules { Real, BucketPerEntry };
 
 class Simulation
@@ -79,13 +80,13 @@
         }
     }
 
-    /** The most by which any window is over burst + rate * w. */
+    /** Largest excess of any window of length w over burst + rate * w, in requests. */
     [[nodiscard]] double worstExcess() const
     {
         std::vector<Instant> sorted = this->used;
         std::sort(sorted.begin(), sorted.end());
         double worst = 0;
-        double lowest = 0; // Of (index - rate * time) over earlier starts of the window.
+        double lowest = 0; // Least (index - rate * time) over all earlier starts of a window.
         for (std::size_t i = 0; i < sorted.size(); ++i) {
             const double earned = this->customer.ratePerSecond * static_cast<double>(sorted[i].us) / 1e6;
             const double here = static_cast<double>(i) - earned;
@@ -95,10 +96,10 @@
         return worst;
     }
 
-    std::vector<Instant> used; ///< When requests were let through, at any entry.
-    int refused = 0; ///< Requests over the rate.
-    int moves = 0; ///< Changes of the customer's owner.
-    double offeredPerSecond = 120; ///< By all callers together.
+    std::vector<Instant> used; ///< Times when requests were admitted, at any entry.
+    int refused = 0; ///< Requests refused as over the rate.
+    int moves = 0; ///< Changes of the owner of the customer's slot.
+    double offeredPerSecond = 120; ///< Requests per second of all callers together.
 
 private:
     void at(Instant due, std::function<void()> action)
@@ -110,7 +111,8 @@
         return Duration(200 + static_cast<std::int64_t>(nextRandom(this->random) % 4000));
     }
 
-    /** Runs @p action in @p entry once it runs; a message is lost where the entry is isolated on the way. */
+    /** Runs @p action in @p entry at @p due, or when the entry's pause ends. A message is lost if the entry is isolated
+     * when it arrives. */
     void inEntry(Instant due, EntryPointer entry, bool message, std::function<void()> action)
     {
         this->at(due, [this, entry, message, action]() {
@@ -232,7 +234,7 @@
     void expire()
     {
         for (const EntryRecord &entry : this->leases.expired(this->fleet, this->now)) {
-            // The end is committed some time after it was proposed; syncs may arrive in between.
+            // The end of a lease is committed some time after the proposal; syncs may arrive in between.
             const auto commit = static_cast<std::int64_t>(nextRandom(this->random) % 1000);
             this->at(this->now + commit * Ms, [this, entry]() {
                 this->apply([&](Wire::FleetCommand::Builder command) {
@@ -253,9 +255,9 @@
         this->inEntry(this->now, asker, false, [this, asker]() {
             this->ask(asker);
         });
-        // Bursts and lulls, so that buckets are both full and empty when faults come.
-        const bool lull = (this->now.us / 7'000'000) % 3 == 0;
-        const double mean = 1e6 / this->offeredPerSecond * (lull ? 20 : 1);
+        // Bursts and quiet periods, so that buckets are both full and empty when faults occur.
+        const bool isQuiet = (this->now.us / 7'000'000) % 3 == 0;
+        const double mean = 1e6 / this->offeredPerSecond * (isQuiet ? 20 : 1);
         this->at(this->now + Duration(1 + static_cast<std::int64_t>(2 * mean * nextUniform(this->random))), [this]() {
             this->load();
         });
@@ -268,7 +270,7 @@
         }
         const EntryId owner = asker->slots[slotOf(this->customer.id.text).value].owner;
         if (this->rules == Rules::BucketPerEntry) {
-            this->askOwnBucket(asker);
+            this->requestFromOwnBucket(asker);
             return;
         }
         const Instant askedAt = this->now;
@@ -278,25 +280,25 @@
             }
             const bool remote = entry != asker;
             this->inEntry(this->now + (remote ? this->latency() : Duration(0)), entry, remote, [=, this]() {
-                const AdmissionDecision verdict = entry->owner.admit(this->customer, 1, this->now, entry->freshUntil);
+                const AdmissionDecision decision = entry->owner.admit(this->customer, 1, this->now, entry->freshUntil);
                 this->inEntry(this->now + (remote ? this->latency() : Duration(0)), asker, remote, [=, this]() {
-                    this->take(asker, verdict, askedAt);
+                    this->take(asker, decision, askedAt);
                 });
             });
         }
     }
 
-    void take(EntryPointer asker, const AdmissionDecision &verdict, Instant askedAt)
+    void take(EntryPointer asker, const AdmissionDecision &decision, Instant askedAt)
     {
-        if (verdict.delays.empty()) {
-            this->refused += verdict.state == AdmissionState::Decided;
+        if (decision.delays.empty()) {
+            this->refused += decision.state == AdmissionState::Decided;
             return;
         }
         const bool timedOut = this->now > askedAt + AskTimeout;
         if (timedOut) {
             return;
         }
-        const Duration delay = verdict.delays.front();
+        const Duration delay = decision.delays.front();
         this->inEntry(this->now + delay, asker, false, [this, askedAt, delay]() {
             if (this->now <= askedAt + delay + GrantTtl) {
                 this->used.push_back(this->now);
@@ -304,7 +306,7 @@
         });
     }
 
-    void askOwnBucket(const EntryPointer &asker)
+    void requestFromOwnBucket(const EntryPointer &asker)
     {
         const auto [bucket, added] = this->ownBuckets.try_emplace(asker->id, this->now);
         bucket->second.declare(this->customer.ratePerSecond, this->customer.burst, this->now);
@@ -316,7 +318,7 @@
         }
     }
 
-    /** Strikes the customer's owner mostly, and often a second entry at the same time. */
+    /** Injects a fault at the owner of the customer's slot, and at times into a random second entry at once. */
     void fault()
     {
         const bool twice = nextRandom(this->random) % 3 == 0;
@@ -356,34 +358,34 @@
         });
     }
 
-    std::uint64_t random; ///< State of the generator.
-    Rules rules; ///< Of the run.
+    std::uint64_t random; ///< State of the random generator.
+    Rules rules; ///< Rules of the run.
     Instant now; ///< Virtual time.
-    CustomerDeclaration customer; ///< The one that is watched.
-    FleetState fleet; ///< As committed.
-    LeaseKeeper leases; ///< Of the leader.
-    std::vector<EntryPointer> entries; ///< Those not killed.
-    std::multimap<Instant, std::function<void()>> events; ///< What happens next.
-    std::map<EntryId, TokenBucket> ownBuckets; ///< For Rules::BucketPerEntry.
-    int nextId = 0; ///< Of the next process.
+    CustomerDeclaration customer; ///< Customer under test.
+    FleetState fleet; ///< Committed state.
+    LeaseKeeper leases; ///< Leases, as the leader keeps them.
+    std::vector<EntryPointer> entries; ///< Entries that were not killed.
+    std::multimap<Instant, std::function<void()>> events; ///< Pending events by due time.
+    std::map<EntryId, TokenBucket> ownBuckets; ///< Bucket of each entry, for Rules::BucketPerEntry.
+    int nextId = 0; ///< Number of the next process.
 };
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(no_window_is_over_burst_and_rate_under_kills_pauses_isolation_and_moves)
+BOOST_AUTO_TEST_CASE(rate_limit_holds_under_kills_pauses_isolation_and_owner_changes)
 {
     int moves = 0;
     for (std::uint64_t seed = 1; seed <= 40; ++seed) {
         Simulation simulation(seed, Rules::Real);
         simulation.run(true);
         BOOST_TEST(simulation.worstExcess() <= 1e-3, "seed " << seed << " excess " << simulation.worstExcess());
-        BOOST_TEST(simulation.used.size() > 400U, "seed " << seed << " let through " << simulation.used.size());
+        BOOST_TEST(simulation.used.size() > 400U, "seed " << seed << " admitted " << simulation.used.size());
         moves += simulation.moves;
     }
     BOOST_TEST(moves > 150);
 }
 
-BOOST_AUTO_TEST_CASE(without_faults_the_whole_rate_is_let_through_and_nothing_inside_it_refused)
+BOOST_AUTO_TEST_CASE(without_faults_the_full_rate_is_admitted_and_nothing_within_it_refused)
 {
     Simulation inside(3, Rules::Real);
     inside.offeredPerSecond = 36;
@@ -393,11 +395,11 @@
     over.run(false);
     BOOST_TEST(over.worstExcess() <= 1e-3);
     BOOST_TEST(over.refused > 1000);
-    // Two of three seven-second spans are three times over the rate.
+    // In two of three periods of 7 s the offered load is three times the rate.
     BOOST_TEST(static_cast<double>(over.used.size()) > 0.95 * 40 * 89 * 2 / 3);
 }
 
-BOOST_AUTO_TEST_CASE(a_bucket_for_each_entry_would_break_the_bound_and_the_check_sees_it)
+BOOST_AUTO_TEST_CASE(check_detects_one_bucket_per_entry)
 {
     Simulation simulation(1, Rules::BucketPerEntry);
     simulation.run(false);
--- a/tests/unit/admission_tenure_test.cpp
+++ b/tests/unit/admission_tenure_test.cpp
@@ -1,4 +1,4 @@
-/** @file admission_tenure_test.cpp  Buckets, and from when a new owner of a slot may grant. */
+/** @file admission_tenure_test.cpp  Token buckets, and when a new owner of a slot may start granting. */
 #define BOOST_TEST_MODULE admission_tenure
 #include <boost/test/unit_test.hpp>
 
@@ -41,14 +41,14 @@
 
 } // namespace
 
-BOOST_FIXTURE_TEST_CASE(the_first_owner_ever_begins_full_and_at_once, Fixture)
+BOOST_FIXTURE_TEST_CASE(first_owner_starts_at_once_with_full_buckets, Fixture)
 {
     this->see(Self, 5, {}, 0, {Self}, 0);
     BOOST_TEST(this->startsInMs(0) == 0);
-    BOOST_TEST((this->slotOwnerships.at(Slot).start == InitialBucketLevel::Full));
+    BOOST_TEST((this->slotOwnerships.at(Slot).initialLevel == InitialBucketLevel::Full));
 }
 
-BOOST_FIXTURE_TEST_CASE(a_successor_waits_for_a_former_owner_that_still_has_its_lease, Fixture)
+BOOST_FIXTURE_TEST_CASE(successor_waits_while_former_owner_holds_its_lease, Fixture)
 {
     this->see(Other, 5, {}, 0, {Self, Other}, 0);
     this->see(Self, 9, Other, 5, {Self, Other}, 10'000);
@@ -56,30 +56,28 @@
     BOOST_TEST(this->slotOwnerships.wanted(this->facts, Instant(10'000'000)).size() == 1U);
 }
 
-BOOST_FIXTURE_TEST_CASE(
-    a_successor_begins_at_once_where_the_lease_has_ended_and_the_former_epoch_was_long_seen, Fixture)
+BOOST_FIXTURE_TEST_CASE(successor_starts_at_once_after_expired_lease_of_long_known_owner, Fixture)
 {
     this->see(Other, 5, {}, 0, {Self, Other}, 0);
     this->see(Self, 9, Other, 5, {Self}, 10'000);
     BOOST_TEST(this->startsInMs(10'000) == 0);
 }
 
-BOOST_FIXTURE_TEST_CASE(an_owner_in_between_that_was_never_seen_makes_the_successor_wait, Fixture)
+BOOST_FIXTURE_TEST_CASE(successor_waits_after_an_owner_that_it_never_saw, Fixture)
 {
     this->see(Other, 5, {}, 0, {Self, Other}, 0);
     this->see(Self, 9, EntryId{"unseen"}, 7, {Self}, 10'000);
     BOOST_TEST(this->startsInMs(10'000) == 3300);
 }
 
-BOOST_FIXTURE_TEST_CASE(
-    a_lease_that_ended_shortly_after_the_move_to_it_shortens_the_wait_only_by_what_has_passed, Fixture)
+BOOST_FIXTURE_TEST_CASE(successor_waits_for_the_rest_after_expired_lease_of_recent_owner, Fixture)
 {
     this->see(Other, 5, {}, 0, {Self, Other}, 0);
     this->see(Self, 9, Other, 5, {Self}, 1'000);
     BOOST_TEST(this->startsInMs(1'000) == 2300);
 }
 
-BOOST_FIXTURE_TEST_CASE(a_slot_that_was_given_up_is_not_granted_for_again, Fixture)
+BOOST_FIXTURE_TEST_CASE(no_grants_for_a_slot_that_was_given_up, Fixture)
 {
     this->see(Self, 5, {}, 0, {Self, Other}, 0);
     BOOST_TEST(this->slotOwnerships.giveUp(Slot, Epoch{5}, Instant(1000)));
@@ -87,7 +85,7 @@
     BOOST_TEST(!this->slotOwnerships.giveUp(Slot, Epoch{4}, Instant(1000)));
 }
 
-BOOST_AUTO_TEST_CASE(a_planned_move_hands_the_level_over)
+BOOST_AUTO_TEST_CASE(handover_transfers_bucket_levels)
 {
     const CustomerDeclaration customer{CustomerId{"t"}, 10, 20, 1};
     const SlotId slot = slotOf(customer.id.text);
@@ -99,7 +97,8 @@
     after.update(SlotFacts{Self, &slots, {Self, Other}}, Instant(0));
     const Instant lease(60'000'000);
     const std::size_t granted = before.admit(customer, 1000, Instant(0), lease).delays.size();
-    BOOST_TEST(granted == 17U + 20U); // 20 less what is earned in GrantTtl, and two seconds ahead.
+    BOOST_TEST(
+        granted == 17U + 20U); // Capacity is the burst of 20 less the refill during GrantTtl; 2 s are reserved ahead.
     slots[slot.value] = SlotRecord{Self, Epoch{9}, Other, Epoch{5}};
     const SlotFacts facts{Self, &slots, {Self, Other}};
     after.update(facts, Instant(1'000'000));
@@ -110,24 +109,24 @@
     BOOST_REQUIRE(levels.has_value());
     after.adopt(wanted[0], *levels, Instant(1'000'000));
     BOOST_TEST((before.admit(customer, 1, Instant(1'000'000), lease).state == AdmissionState::NotOwner));
-    // Two seconds were reserved ahead, one has passed: one more second may be reserved.
+    // 2 s were reserved ahead and 1 s has passed, so 1 s more may be reserved.
     BOOST_TEST(after.admit(customer, 1000, Instant(1'000'000), lease).delays.size() == 10U);
 }
 
-BOOST_AUTO_TEST_CASE(nothing_is_granted_that_falls_due_after_the_lease)
+BOOST_AUTO_TEST_CASE(no_grant_falls_due_after_the_lease)
 {
     const CustomerDeclaration customer{CustomerId{"t"}, 10, 20, 1};
     std::vector<SlotRecord> slots(SlotCount);
     slots[slotOf("t").value] = SlotRecord{Self, Epoch{5}, {}, Epoch{}};
     CustomerRateLimiter owner;
     owner.update(SlotFacts{Self, &slots, {Self}}, Instant(0));
-    const AdmissionDecision verdict = owner.admit(customer, 1000, Instant(0), Instant(500'000));
-    BOOST_TEST(verdict.delays.size() == 17U + 5U);
-    BOOST_TEST((verdict.delays.back() <= Duration(500'000)));
+    const AdmissionDecision decision = owner.admit(customer, 1000, Instant(0), Instant(500'000));
+    BOOST_TEST(decision.delays.size() == 17U + 5U);
+    BOOST_TEST((decision.delays.back() <= Duration(500'000)));
     BOOST_TEST((owner.admit(customer, 1, Instant(600'000), Instant(500'000)).state == AdmissionState::NotYet));
 }
 
-BOOST_AUTO_TEST_CASE(a_lease_whose_end_was_proposed_is_not_renewed_but_a_later_one_is)
+BOOST_AUTO_TEST_CASE(lease_with_proposed_end_is_not_renewed)
 {
     FleetState fleet;
     const auto grant = [&](std::uint64_t index) {
