--- a/fuzz/call_request_fuzz.cpp
+++ b/fuzz/call_request_fuzz.cpp
@@ -1,4 +1,4 @@
-/** @file call_request_fuzz.cpp  Bodies of calls: whatever is sent is parsed or refused with a reason. */
+/** @file call_request_fuzz.cpp  Request bodies of calls: any input is either parsed or rejected with a reason. */
 #include "fuzz_input.h"
 #include "program/call_request_type.h"
 
--- a/fuzz/command_fuzz.cpp
+++ b/fuzz/command_fuzz.cpp
@@ -1,5 +1,5 @@
-/** @file command_fuzz.cpp  Replicated commands and deltas: sound ones with changed bytes are applied, refused, or end
- * in a kj::Exception, which the RPC system gives back to the sender; and a snapshot holds the same state. */
+/** @file command_fuzz.cpp  Replicated commands: valid commands with modified bytes are applied, rejected, or end in a
+ * kj::Exception, which the RPC system returns to the sender. A snapshot restores the same state. */
 #include <capnp/message.h>
 #include <kj/exception.h>
 
--- a/src/program/call_request_func.cpp
+++ b/src/program/call_request_func.cpp
@@ -1,4 +1,4 @@
-/** @file call_request_func.cpp  Checks calls field by field. */
+/** @file call_request_func.cpp  Parsing and validation of calls. */
 #include "program/call_request_type.h"
 
 #include <algorithm>
@@ -26,7 +26,7 @@
 
 using Object = Poco::JSON::Object::Ptr;
 
-tl::unexpected<Error> bad(const std::string &what)
+tl::unexpected<Error> badRequest(const std::string &what)
 {
     return fail(ErrorKind::BadRequest, what);
 }
@@ -38,7 +38,7 @@
         parser.setDepth(MaxDepth);
         return parser.parse(body).extract<Object>();
     } catch (const std::exception &) {
-        return bad("the body is not a JSON object of at most 32 levels");
+        return badRequest("the body must be a JSON object with at most 32 levels");
     }
 }
 
@@ -46,7 +46,7 @@
 {
     const Poco::Dynamic::Var value = object->get(name);
     if (value.isEmpty() || !value.isString() || value.extract<std::string>().empty()) {
-        return bad("field " + name + " must be a text that is not empty");
+        return badRequest("field " + name + " must be a non-empty string");
     }
     return value.extract<std::string>();
 }
@@ -58,7 +58,7 @@
         return false;
     }
     if (!value.isBoolean()) {
-        return bad("field " + name + " must be true or false");
+        return badRequest("field " + name + " must be true or false");
     }
     return value.extract<bool>();
 }
@@ -71,7 +71,7 @@
     }
     if (!value.isInteger() || value.isBoolean() || value.convert<std::int64_t>() < 1
         || value.convert<std::int64_t>() > 1'000'000) {
-        return bad("field " + name + " must be a whole number from 1 to 1000000");
+        return badRequest("field " + name + " must be a whole number from 1 to 1000000");
     }
     return value.convert<std::uint32_t>();
 }
@@ -80,17 +80,17 @@
 {
     const Poco::JSON::Array::Ptr list = object->isArray("messages") ? object->getArray("messages") : nullptr;
     if (list.isNull() || list->size() == 0 || list->size() > MaxMessages) {
-        return bad("field messages must be a list of 1 to 4096 messages");
+        return badRequest("field messages must be an array of 1 to 4096 messages");
     }
     std::vector<ChatMessage> messages;
     for (unsigned i = 0; i < list->size(); ++i) {
         const Object message = list->isObject(i) ? list->getObject(i) : nullptr;
         const Poco::Dynamic::Var content = message.isNull() ? Poco::Dynamic::Var() : message->get("content");
-        const Result<std::string> role = message.isNull() ? bad("") : textField(message, "role");
-        const bool known = role && std::find(Roles.begin(), Roles.end(), *role) != Roles.end();
-        if (!known || !content.isString()) {
-            return bad(
-                "messages[" + std::to_string(i) + "] needs a role (system, user, assistant, tool) and a text content");
+        const Result<std::string> role = message.isNull() ? badRequest("") : textField(message, "role");
+        const bool isKnownRole = role && std::find(Roles.begin(), Roles.end(), *role) != Roles.end();
+        if (!isKnownRole || !content.isString()) {
+            return badRequest("messages[" + std::to_string(i)
+                + "] must have a role (system, user, assistant, tool) and a string content");
         }
         messages.push_back(ChatMessage{*role, content.extract<std::string>()});
     }
@@ -132,13 +132,14 @@
         return tl::unexpected(error);
     }
     if (std::find(Methods.begin(), Methods.end(), *method) == Methods.end()) {
-        return bad("field method must be GET, HEAD, PUT, DELETE, POST or PATCH");
+        return badRequest("field method must be GET, HEAD, PUT, DELETE, POST or PATCH");
     }
-    const bool clean = path->front() == '/' && std::none_of(path->begin(), path->end(), [](unsigned char letter) {
-        return letter <= ' ' || letter == 0x7f;
-    });
-    if (!clean) {
-        return bad("field path must begin with / and hold no blanks or control characters");
+    const bool isValidPath =
+        path->front() == '/' && std::none_of(path->begin(), path->end(), [](unsigned char character) {
+            return character <= ' ' || character == 0x7f;
+        });
+    if (!isValidPath) {
+        return badRequest("field path must begin with / and contain no spaces or control characters");
     }
     call.service = ServiceId{*service};
     call.method = *method;
@@ -146,7 +147,7 @@
     call.idempotent = *idempotent;
     const Poco::Dynamic::Var contentType = object->get("content_type");
     if (!contentType.isEmpty() && !contentType.isString()) {
-        return bad("field content_type must be a text");
+        return badRequest("field content_type must be a string");
     }
     call.contentType = contentType.isEmpty() ? "application/json" : contentType.extract<std::string>();
     const Poco::Dynamic::Var toolBody = object->get("body");
@@ -157,7 +158,8 @@
     return call;
 }
 
-std::string textOfParts(const Poco::JSON::Array::Ptr &parts)
+/** Concatenates the text parts of a message content. */
+std::string joinTextParts(const Poco::JSON::Array::Ptr &parts)
 {
     std::string text;
     for (unsigned i = 0; i < parts->size(); ++i) {
@@ -177,7 +179,7 @@
     return "[" + json + "]";
 }
 
-/** The body of a model call with these fields. */
+/** Returns the canonical body of a model call. */
 std::string modelBody(
     const ModelId &model, const std::vector<ChatMessage> &messages, std::uint32_t maxTokens, bool stream)
 {
@@ -189,14 +191,14 @@
 bool isUtf8(const std::string &text)
 {
     const Poco::UTF8Encoding encoding;
-    const auto *at = reinterpret_cast<const unsigned char *>(text.data());
-    const auto *end = at + text.size();
-    while (at < end) {
-        const int length = encoding.sequenceLength(at, static_cast<int>(end - at));
-        if (length < 1 || length > end - at || !Poco::UTF8Encoding::isLegal(at, length)) {
+    const auto *position = reinterpret_cast<const unsigned char *>(text.data());
+    const auto *end = position + text.size();
+    while (position < end) {
+        const int length = encoding.sequenceLength(position, static_cast<int>(end - position));
+        if (length < 1 || length > end - position || !Poco::UTF8Encoding::isLegal(position, length)) {
             return false;
         }
-        at += length;
+        position += length;
     }
     return true;
 }
@@ -206,7 +208,7 @@
 Result<CallRequest> parseCall(const std::string &body)
 {
     if (!isUtf8(body)) {
-        return bad("the body is not UTF-8");
+        return badRequest("the body is not valid UTF-8");
     }
     const Result<Object> object = parseObject(body);
     if (!object) {
@@ -222,7 +224,7 @@
     if (kind && *kind == "tool") {
         return parseToolCall(*object, std::move(call));
     }
-    return bad("field kind must be model or tool");
+    return badRequest("field kind must be model or tool");
 }
 
 Result<CallRequest> makeServiceCall(const ServiceId &service, const std::string &method, const std::string &path,
@@ -236,7 +238,7 @@
 Result<CallRequest> parseChatCall(const std::string &body)
 {
     if (!isUtf8(body)) {
-        return bad("the body is not UTF-8");
+        return badRequest("the body is not valid UTF-8");
     }
     Result<Object> object = parseObject(body);
     if (!object) {
@@ -246,7 +248,7 @@
     for (unsigned i = 0; !list.isNull() && i < list->size(); ++i) {
         Object message = list->isObject(i) ? list->getObject(i) : nullptr;
         if (!message.isNull() && message->isArray("content")) {
-            message->set("content", textOfParts(message->getArray("content")));
+            message->set("content", joinTextParts(message->getArray("content")));
         }
     }
     if (!(*object)->has("max_tokens") && (*object)->has("max_completion_tokens")) {
@@ -264,14 +266,14 @@
     const auto same = [](const ChatMessage &left, const ChatMessage &right) {
         return left.role == right.role && left.content == right.content;
     };
-    const bool repeats = history.size() < call.messages.size()
+    const bool startsWithHistory = history.size() < call.messages.size()
         && std::equal(history.begin(), history.end(), call.messages.begin(), same);
-    if (!repeats || history.empty()) {
+    if (!startsWithHistory || history.empty()) {
         return call;
     }
-    const std::vector<ChatMessage> fresh(
+    const std::vector<ChatMessage> newMessages(
         call.messages.begin() + static_cast<std::ptrdiff_t>(history.size()), call.messages.end());
-    return parseCall(modelBody(call.model, fresh, call.maxTokens, call.stream)).value_or(call);
+    return parseCall(modelBody(call.model, newMessages, call.maxTokens, call.stream)).value_or(call);
 }
 
 Result<std::vector<ChatMessage>> parseMessages(const std::string &body)
--- a/src/program/journal_base.cpp
+++ b/src/program/journal_base.cpp
@@ -1,4 +1,4 @@
-/** @file journal_base.cpp  Look-ups and snapshots of the program journal. */
+/** @file journal_base.cpp  Lookups in and snapshots of the program journal. */
 #include "program/journal_base.h"
 
 #include <utility>
@@ -14,7 +14,7 @@
 namespace
 {
 
-constexpr std::uint32_t SnapshotVersion = 1; ///< Grows when a chunk changes its form.
+constexpr std::uint32_t SnapshotVersion = 1; ///< Incremented when the format of the snapshot changes.
 
 } // namespace
 
@@ -88,7 +88,7 @@
 {
     FlatMessage message(bytes);
     const auto snapshot = message.root<Wire::JournalSnapshot>();
-    KJ_REQUIRE(snapshot.getVersion() == SnapshotVersion, "unknown version of the journal snapshot");
+    KJ_REQUIRE(snapshot.getVersion() == SnapshotVersion, "unsupported version of the journal snapshot");
     *this = JournalState{};
     this->lastIndex = snapshot.getIndex();
     for (const auto slot : snapshot.getSlots()) {
--- a/src/program/journal_cmd.cpp
+++ b/src/program/journal_cmd.cpp
@@ -1,4 +1,4 @@
-/** @file journal_cmd.cpp  Commands on the program journal: each is tested, then executed, by one function. */
+/** @file journal_cmd.cpp  Commands of the program journal; one function for each validates and executes it. */
 #include "program/journal_base.h"
 
 #include <algorithm>
@@ -15,13 +15,15 @@
 namespace
 {
 
-/** Whether the call of this number is of this very attempt, so that a command about it has been executed before. */
-bool hasAttempt(const ProgramRecord &program, const CallRecord &call)
+/** Whether the recorded call with the number of @p call has the same attempt. A command about this attempt was executed
+ * before. */
+bool hasSameAttempt(const ProgramRecord &program, const CallRecord &call)
 {
     const CallRecord *known = program.find(call.number);
     return known != nullptr && known->attempt == call.attempt;
 }
 
+/** Adds @p endpoint to those that have to release cache of @p program. */
 void addRelease(ProgramRecord &program, const EndpointId &endpoint)
 {
     auto &releases = program.releases;
@@ -30,15 +32,15 @@
     }
 }
 
-/** Takes @p call in as the result of the last call, of which @p covered tokens are paid for. */
-void endCall(ProgramRecord &program, CallRecord call, std::uint64_t covered)
+/** Records @p call as the result of the last call. @p covered of its tokens were charged to the budget before. */
+void recordResult(ProgramRecord &program, CallRecord call, std::uint64_t covered)
 {
     std::vector<CallRecord> &calls = program.calls;
-    const bool intent = !calls.empty() && calls.back().number == call.number;
+    const bool endsIntent = !calls.empty() && calls.back().number == call.number;
     const std::uint64_t uncovered = call.tokens - std::min(call.tokens, covered);
     program.spent.tokens += std::min(uncovered, program.budget.tokens - program.spent.tokens);
     call.state = CallState::Ended;
-    if (intent) {
+    if (endsIntent) {
         calls.back() = std::move(call);
     } else {
         program.spent.calls += 1;
@@ -106,7 +108,7 @@
     return fail(ErrorKind::BadRequest, "unknown journal command");
 }
 
-Result<ProgramRecord *> JournalState::openProgram(const std::string &id)
+Result<ProgramRecord *> JournalState::findOpenProgram(const std::string &id)
 {
     const auto found = this->programs.find(ProgramId{id});
     if (found == this->programs.end()) {
@@ -156,10 +158,10 @@
     const auto begin = command.getBegin();
     CallRecord call = readCall(begin.getCall());
     const ProgramRecord *known = this->find(ProgramId{textOf(begin.getProgram())});
-    if (known != nullptr && hasAttempt(*known, call)) {
+    if (known != nullptr && hasSameAttempt(*known, call)) {
         return {};
     }
-    const Result<ProgramRecord *> program = this->openProgram(textOf(begin.getProgram()));
+    const Result<ProgramRecord *> program = this->findOpenProgram(textOf(begin.getProgram()));
     if (!program) {
         return tl::unexpected(program.error());
     }
@@ -190,33 +192,34 @@
     }
     ProgramRecord &program = found->second;
     std::vector<CallRecord> &calls = program.calls;
-    if (hasAttempt(program, call) && program.find(call.number)->state == CallState::Ended) {
+    if (hasSameAttempt(program, call) && program.find(call.number)->state == CallState::Ended) {
         return {};
     }
-    const bool intent = !calls.empty() && calls.back().number == call.number && calls.back().state == CallState::Intent;
-    const bool next =
+    const bool endsIntent =
+        !calls.empty() && calls.back().number == call.number && calls.back().state == CallState::Intent;
+    const bool isNextCall =
         call.number.value == calls.size() + 1 && (calls.empty() || calls.back().state == CallState::Ended);
-    const bool untouched = call.failure && call.failure->ran == Ran::No;
-    if (untouched && next) {
-        return {}; // The intent was taken back before.
+    const bool hasNotRun = call.failure && call.failure->ran == Ran::No;
+    if (hasNotRun && isNextCall) {
+        return {}; // The intent was removed before.
     }
-    if (!intent && !next) {
+    if (!endsIntent && !isNextCall) {
         return fail(ErrorKind::Conflict, "call " + std::to_string(call.number.value) + " can't end now");
     }
-    if (intent && calls.back().attempt != call.attempt) {
+    if (endsIntent && calls.back().attempt != call.attempt) {
         return fail(ErrorKind::Conflict, "the result is of another attempt");
     }
-    if (next && program.ended()) {
+    if (isNextCall && program.ended()) {
         return fail(ErrorKind::ProgramEnded, "program " + program.id.text);
     }
-    if (next && program.spent.calls >= program.budget.calls) {
+    if (isNextCall && program.spent.calls >= program.budget.calls) {
         return fail(ErrorKind::BudgetSpent, "program " + program.id.text);
     }
-    if (execute && untouched) {
+    if (execute && hasNotRun) {
         calls.pop_back();
         program.spent.calls -= 1;
     } else if (execute) {
-        endCall(program, std::move(call), end.getCovered());
+        recordResult(program, std::move(call), end.getCovered());
     }
     return {};
 }
@@ -289,7 +292,7 @@
 Result<void> JournalState::doAllocateChildBudget(Wire::JournalCommand::Reader command, bool execute)
 {
     const auto carve = command.getCarve();
-    const Result<ProgramRecord *> parent = this->openProgram(textOf(carve.getProgram()));
+    const Result<ProgramRecord *> parent = this->findOpenProgram(textOf(carve.getProgram()));
     if (!parent) {
         return tl::unexpected(parent.error());
     }
--- a/src/program/program_type.cpp
+++ b/src/program/program_type.cpp
@@ -1,4 +1,4 @@
-/** @file program_type.cpp  Program records on the wire. */
+/** @file program_type.cpp  Serialisation of program records. */
 #include "program/program_type.h"
 
 #include "rpc/message_func.h"
@@ -32,8 +32,8 @@
 
 const CallRecord *ProgramRecord::find(CallNumber number) const
 {
-    const bool present = number.value >= 1 && number.value <= this->calls.size();
-    return present ? &this->calls[number.value - 1] : nullptr;
+    const bool exists = number.value >= 1 && number.value <= this->calls.size();
+    return exists ? &this->calls[number.value - 1] : nullptr;
 }
 
 void writeBudget(Wire::Budget::Builder builder, const Budget &budget)
--- a/tests/unit/program_journal_test.cpp
+++ b/tests/unit/program_journal_test.cpp
@@ -1,5 +1,5 @@
 /** @file program_journal_test.cpp  The journal of programs: fencing, idempotence of resent commands, budgets, and a
- * seeded run in which every command may come twice and late. */
+ * random run with a fixed seed in which every command may arrive twice and late. */
 #define BOOST_TEST_MODULE program_journal
 #include <boost/test/unit_test.hpp>
 
@@ -23,7 +23,7 @@
 
 using Fill = std::function<void(Wire::JournalCommand::Builder)>;
 
-/** A journal with one program, and the commands on it. */
+/** A journal with one program, and functions that make commands on it. */
 struct Journal
 {
     JournalState state;
@@ -35,7 +35,7 @@
         BOOST_REQUIRE(this->apply(create()) == "done");
     }
 
-    /** @return the error's code; `done` where the command was executed. */
+    /** @return the error code; `done` if the command succeeded. */
     std::string apply(const std::string &command)
     {
         const std::string bytes = this->state.apply(++this->index, command);
@@ -123,7 +123,7 @@
         });
     }
 
-    static std::string carve(const std::string &child, std::uint64_t calls, std::uint32_t depth)
+    static std::string allocateChildBudget(const std::string &child, std::uint64_t calls, std::uint32_t depth)
     {
         return make([&](auto command) {
             auto group = command.initCarve();
@@ -148,12 +148,12 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(a_resent_command_changes_nothing)
+BOOST_AUTO_TEST_CASE(resent_command_has_no_effect)
 {
     Journal journal;
     const std::vector<std::string> commands = {Journal::create(), Journal::begin(1, "a"), Journal::end(1, "a", 5),
         Journal::reserve("b1", 40), Journal::end(2, "b", 30, 30), Journal::reserve("b2", 10, true),
-        Journal::carve("c", 1, 1), Journal::endProgram()};
+        Journal::allocateChildBudget("c", 1, 1), Journal::endProgram()};
     for (const std::string &command : commands) {
         BOOST_TEST(journal.apply(command) == "done");
         const std::string before = journal.state.snapshot();
@@ -167,7 +167,7 @@
     BOOST_TEST(journal.program().spent.calls == 3);
 }
 
-BOOST_AUTO_TEST_CASE(an_older_epoch_and_another_attempt_are_refused)
+BOOST_AUTO_TEST_CASE(older_epoch_and_other_attempt_are_rejected)
 {
     Journal journal;
     BOOST_TEST(journal.apply(Journal::begin(1, "a")) == "done");
@@ -179,21 +179,21 @@
     BOOST_TEST(journal.apply(Journal::create("other")) == "stale_epoch");
 }
 
-BOOST_AUTO_TEST_CASE(an_intent_whose_attempt_reached_nothing_is_taken_back)
+BOOST_AUTO_TEST_CASE(intent_is_removed_when_its_attempt_did_not_run)
 {
     Journal journal;
-    const Error untouched{ErrorKind::NoEndpoint, "", Ran::No, 0};
+    const Error notRun{ErrorKind::NoEndpoint, "", Ran::No, 0};
     BOOST_TEST(journal.apply(Journal::begin(1, "a")) == "done");
     BOOST_TEST(journal.program().spent.calls == 1U);
-    BOOST_TEST(journal.apply(Journal::end(1, "a", 0, 0, untouched)) == "done");
-    BOOST_TEST(journal.apply(Journal::end(1, "a", 0, 0, untouched)) == "done");
+    BOOST_TEST(journal.apply(Journal::end(1, "a", 0, 0, notRun)) == "done");
+    BOOST_TEST(journal.apply(Journal::end(1, "a", 0, 0, notRun)) == "done");
     BOOST_TEST(journal.program().calls.empty());
     BOOST_TEST(journal.program().spent.calls == 0U);
     BOOST_TEST(journal.apply(Journal::begin(1, "b")) == "done");
-    BOOST_TEST(journal.apply(Journal::end(1, "a", 0, 0, untouched)) == "conflict");
+    BOOST_TEST(journal.apply(Journal::end(1, "a", 0, 0, notRun)) == "conflict");
 }
 
-BOOST_AUTO_TEST_CASE(the_result_of_an_intent_is_taken_after_the_program_was_ended)
+BOOST_AUTO_TEST_CASE(result_of_intent_is_accepted_after_program_end)
 {
     Journal journal;
     BOOST_TEST(journal.apply(Journal::begin(1, "a")) == "done");
@@ -204,15 +204,15 @@
     BOOST_TEST(journal.apply(Journal::end(2, "b")) == "program_ended");
 }
 
-BOOST_AUTO_TEST_CASE(budgets_hold_to_the_unit)
+BOOST_AUTO_TEST_CASE(budgets_are_exact)
 {
     Journal journal;
     BOOST_TEST(journal.apply(Journal::reserve("b1", TokenBudget)) == "done");
     BOOST_TEST(journal.apply(Journal::reserve("b2", 1)) == "budget_spent");
-    BOOST_TEST(journal.apply(Journal::carve("deep", 1, 2)) == "budget_spent");
+    BOOST_TEST(journal.apply(Journal::allocateChildBudget("deep", 1, 2)) == "budget_spent");
     BOOST_TEST(journal.apply(Journal::reserve("b3", 50, true)) == "done");
-    BOOST_TEST(journal.apply(Journal::carve("child", 1, 1)) == "done");
-    BOOST_TEST(journal.apply(Journal::carve("greedy", CallBudget, 1)) == "budget_spent");
+    BOOST_TEST(journal.apply(Journal::allocateChildBudget("child", 1, 1)) == "done");
+    BOOST_TEST(journal.apply(Journal::allocateChildBudget("greedy", CallBudget, 1)) == "budget_spent");
     BOOST_TEST(journal.apply(Journal::end(1, "a")) == "done");
     BOOST_TEST(journal.apply(Journal::begin(2, "b")) == "done");
     BOOST_TEST(journal.apply(Journal::end(2, "b")) == "done");
@@ -220,7 +220,7 @@
     BOOST_TEST(journal.apply(Journal::end(3, "c")) == "budget_spent");
 }
 
-BOOST_AUTO_TEST_CASE(an_answer_with_a_nul_byte_is_kept_whole)
+BOOST_AUTO_TEST_CASE(answer_with_nul_byte_is_preserved)
 {
     const std::string answer("before\0after", 12);
     ProgramRecord program;
@@ -238,8 +238,8 @@
     BOOST_TEST(read.calls[0].failure->what == answer);
 }
 
-/** Invariants: calls are numbered without gaps, only the last is an intent, an ended call keeps its first result, and
- * no part of the budget is overspent, whatever commands come twice, late and in any order. */
+/** Invariants: calls are numbered without gaps, only the last one is an intent, an ended call keeps its first result,
+ * and the budget is not overspent. They hold for commands that arrive twice, late and in any order. */
 BOOST_AUTO_TEST_CASE(commands_in_any_order_keep_the_invariants)
 {
     constexpr unsigned Seed = 20261203;
