--- a/bench/model/fleet_model.h
+++ b/bench/model/fleet_model.h
@@ -1,5 +1,5 @@
-/** @file fleet_model.h  Engines, dispatchers and programs in virtual time: runs a mix under one set of policies and
- * measures it. The same seed gives the same result. */
+/** @file fleet_model.h  Discrete-event simulation of engines, dispatchers and programs: runs a workload mix under one
+ * set of policies and measures it. The same seed gives the same result. */
 #pragma once
 
 #include <array>
@@ -20,50 +20,53 @@
 namespace Chestnuthook::Model
 {
 
+/** Source of the load estimates for the choice of an endpoint. */
 enum class LoadSource {
-    Counts, ///< The dispatchers' counts.
-    Reports, ///< Reports of the engines, late.
-    CorrectedReports, ///< The same, and what the entry itself has sent since.
+    Counts, ///< Exact counts of the dispatchers.
+    Reports, ///< Delayed reports of the engines.
+    CorrectedReports, ///< Delayed reports, plus the calls that the entry sent since.
 };
 
-/** What can be turned off or varied beside the rules. */
+/** Settings of a run besides its policies. */
 struct Options
 {
-    bool fair = true; ///< Customers' counters.
-    bool prefixIndex = true; ///< Knowledge of caches.
-    bool releaseEnded = true; ///< Ended programs' cache is released.
-    LoadSource load = LoadSource::Counts; ///< For the choice of endpoints.
-    double reportLag = 0.5; ///< Seconds.
-    double eventLag = 1; ///< Seconds, of cache events.
-    double eventLoss = 0.05; ///< Share of cache events that never come.
-    bool faults = false; ///< An engine and an entry are lost.
-    std::size_t engines = 10; ///< Replicas.
-    std::size_t dispatchers = 6; ///< Entries.
+    bool fair = true; ///< Use fair queueing between customers.
+    bool prefixIndex = true; ///< Use estimates of the engines' caches.
+    bool releaseEnded = true; ///< Release the cache of ended programs.
+    LoadSource load = LoadSource::Counts; ///< Source of load estimates.
+    double reportLag = 0.5; ///< Delay of load reports in seconds.
+    double eventLag = 1; ///< Delay of cache events in seconds.
+    double eventLoss = 0.05; ///< Share of cache events that are lost.
+    bool faults = false; ///< Inject the loss of an engine and of an entry.
+    std::size_t engines = 10; ///< Number of engine replicas.
+    std::size_t dispatchers = 6; ///< Number of entries, all of which dispatch.
 };
 
+/** Results of a run. */
 struct Measures
 {
-    double meanLatency = 0; ///< Of whole programs, in seconds.
-    double p95Latency = 0; ///< The same.
-    double recomputed = 0; ///< Prompt tokens computed though cached once.
-    double pausedTokenSeconds = 0; ///< Cache held by paused programs.
-    double endedTokenSeconds = 0; ///< Cache held by ended programs.
-    double worstShare = 0; ///< Least of served over fair share, at the end of the burst.
-    double worstShareOfAllDemand = 0; ///< The same with all of the calls under way as demand.
-    double worstLatency = 0; ///< Largest mean of a customer within its share, in seconds.
-    double retries = 0; ///< Calls that an engine's loss sent elsewhere.
-    std::size_t ended = 0; ///< Programs.
+    double meanLatency = 0; ///< Mean latency of whole programs, in seconds.
+    double p95Latency = 0; ///< 95th percentile of the latency of whole programs, in seconds.
+    double recomputed = 0; ///< Prompt tokens that were computed again after they had been computed before.
+    double pausedTokenSeconds = 0; ///< Cache held by paused programs, in token seconds.
+    double endedTokenSeconds = 0; ///< Cache held by ended programs, in token seconds.
+    double worstShare = 0; ///< Lowest ratio of served tokens to fair share of any customer, at the end of the burst.
+    double worstShareOfAllDemand = 0; ///< As worstShare, with all calls that wait or run as demand.
+    double worstLatency = 0; ///< Largest mean latency of a customer that stays within its share, in seconds.
+    double retries = 0; ///< Calls that were sent to another engine after a loss.
+    std::size_t ended = 0; ///< Programs that ended.
 };
 
-template<QueueOrder Order, EndpointChoice Choice, RetentionRule Keep>
+/** Simulates one fleet under one set of policies. */
+template<QueueOrder Order, EndpointChoice Choice, RetentionRule RetentionPolicy>
 class FleetModel
 {
 public:
-    FleetModel(const Mix &given, Options how, Order order = {}, Choice rule = {}, Keep keeping = {})
+    FleetModel(const Mix &given, Options how, Order order = {}, Choice rule = {}, RetentionPolicy retentionRule = {})
         : mix(given)
         , options(how)
         , choice(rule)
-        , keep(keeping)
+        , retention(retentionRule)
         , programs(given.programs.size())
         , fairness(how.dispatchers)
         , served(given.customers.size(), 0)
@@ -114,9 +117,9 @@
 private:
     struct Event
     {
-        double due = 0; ///< In seconds.
-        std::uint64_t sequence = 0; ///< Keeps equal times in order.
-        std::function<void()> action; ///< What happens.
+        double due = 0; ///< Virtual time in seconds.
+        std::uint64_t sequence = 0; ///< Orders events with the same due time.
+        std::function<void()> action; ///< Effect of the event.
         bool operator<(const Event &other) const
         {
             return std::pair{other.due, other.sequence} < std::pair{this->due, this->sequence};
@@ -128,35 +131,36 @@
             : queue(bounds, order)
         {
         }
-        Engine engine; ///< The replica.
-        EndpointQueue<Order> queue; ///< Its dispatcher's.
-        bool stepping = false; ///< A step is under way.
-        bool up = true; ///< Lost engines get nothing.
-        std::uint64_t generation = 0; ///< Grows with each loss; steps of an earlier one count for nothing.
-        std::uint64_t eventSequence = 0; ///< Of cache events.
-        std::deque<std::pair<double, EndpointEstimate>> reports; ///< Oldest first.
-        double turnoverTokens = 0; ///< Evicted lately, faded.
-        double evictedBefore = 0; ///< At the last sample.
+        Engine engine; ///< Simulated engine.
+        EndpointQueue<Order> queue; ///< Queue at its dispatcher.
+        bool stepping = false; ///< A step of the batch runs.
+        bool up = true; ///< False while the engine is lost; it gets no calls then.
+        std::uint64_t generation = 0; ///< Incremented with each loss; steps of an earlier generation are ignored.
+        std::uint64_t eventSequence = 0; ///< Sequence number of the last cache event.
+        std::deque<std::pair<double, EndpointEstimate>> reports; ///< Load reports with their time, oldest first.
+        double turnoverTokens = 0; ///< Recently evicted tokens, decayed.
+        double evictedBefore = 0; ///< Evicted tokens at the last sample.
     };
     struct ProgramState
     {
-        std::size_t turn = 0; ///< Next turn.
+        std::size_t turn = 0; ///< Index of the next turn.
         double history = 0; ///< Tokens of prompt and answers so far.
-        double computed = 0; ///< Of the history, what some engine has computed.
-        double attained = 0; ///< Service of the whole tree; kept at the root.
-        double begun = 0; ///< In seconds.
-        double pausedAt = -1; ///< While it pauses.
-        double exported = 0; ///< Tokens that wait to be imported.
-        int host = -1; ///< Where it ran last.
-        bool over = false; ///< Has ended.
-        bool helperRuns = false; ///< The next turn waits for a helper.
-        bool pauseOver = false; ///< The tool call has ended.
+        double computed = 0; ///< Tokens of the history that an engine has computed.
+        double attained = 0; ///< Service of the program and its helpers; kept at the root.
+        double startedAt = 0; ///< Start time in seconds.
+        double pausedAt = -1; ///< Start of the current pause in seconds; -1 while it does not pause.
+        double exported = 0; ///< Exported tokens that have to be imported.
+        int host = -1; ///< Host that ran its last call.
+        bool ended = false; ///< The program has ended.
+        bool isHelperRunning = false; ///< The next turn waits for a helper.
+        bool isToolCallDone = false; ///< The tool call of the pause has ended.
     };
-    struct Flight
+    /** A call that waits or runs. */
+    struct ActiveCall
     {
-        EngineCall call; ///< As started.
-        std::size_t host = 0; ///< Where it waits or runs.
-        double uncached = 0; ///< Prefill, once it has started.
+        EngineCall call; ///< The call as sent.
+        std::size_t host = 0; ///< Host where it waits or runs.
+        double uncached = 0; ///< Tokens to prefill; set when it starts.
     };
 
     void at(double due, std::function<void()> action)
@@ -195,12 +199,12 @@
 
     void begin(int program)
     {
-        this->stateOf(program).begun = this->now;
-        this->ready(program);
+        this->stateOf(program).startedAt = this->now;
+        this->sendNextCall(program);
     }
 
-    /** The program's next call may run. */
-    void ready(int program)
+    /** Sends the next call of a program. */
+    void sendNextCall(int program)
     {
         ProgramState &state = this->stateOf(program);
         const Turn &turn = this->shapeOf(program).turns[state.turn];
@@ -212,7 +216,7 @@
         this->send(call);
     }
 
-    std::vector<std::size_t> upHosts() const
+    std::vector<std::size_t> availableHosts() const
     {
         std::vector<std::size_t> up;
         for (std::size_t i = 0; i < this->hosts.size(); ++i) {
@@ -225,7 +229,7 @@
 
     void send(const EngineCall &call)
     {
-        const std::vector<std::size_t> up = this->upHosts();
+        const std::vector<std::size_t> up = this->availableHosts();
         const std::size_t entry = static_cast<std::size_t>(call.program) % this->options.dispatchers;
         std::vector<EndpointEstimate> estimates;
         for (const std::size_t host : up) {
@@ -233,9 +237,9 @@
             estimates.back().cachedTokens =
                 this->options.prefixIndex ? this->index.cached(hostId(host), idOf(call.program)) : 0;
         }
-        // The length of an answer is not known ahead; the mean of all is.
-        const CallEstimate wanted{call.promptTokens, this->meanOutput};
-        const std::size_t chosen = this->choice.choose(estimates, wanted, this->choiceState);
+        // The length of an answer is not known in advance, so the mean of all answers is used.
+        const CallEstimate callEstimate{call.promptTokens, this->meanOutput};
+        const std::size_t chosen = this->choice.choose(estimates, callEstimate, this->choiceState);
         const std::size_t host = up[chosen];
         const double uncached = std::max(0.0, call.promptTokens - estimates[chosen].cachedTokens);
         QueuedCall waiting;
@@ -245,23 +249,23 @@
         waiting.attainedTokens = this->stateOf(this->rootOf(call.program)).attained;
         waiting.expectedTokens = uncached * PrefillCost + this->meanOutput;
         waiting.arrived = Instant(static_cast<std::int64_t>(this->now * 1e6));
-        this->flights[call.id] = Flight{call, host, 0};
+        this->activeCalls[call.id] = ActiveCall{call, host, 0};
         this->hosts[host].queue.push(waiting, this->countersOf(host));
         if (this->options.load == LoadSource::CorrectedReports) {
             this->sent.push_back({this->now, entry, host, waiting.expectedTokens});
         }
-        this->pump(host);
+        this->startCalls(host);
     }
 
     EndpointEstimate estimate(std::size_t host, std::size_t entry)
     {
-        Host &one = this->hosts[host];
+        Host &target = this->hosts[host];
         if (this->options.load == LoadSource::Counts) {
-            return {one.queue.inFlightCount() + one.queue.waitingSize(), one.queue.backlogTokens(), 0};
+            return {target.queue.inFlightCount() + target.queue.waitingSize(), target.queue.backlogTokens(), 0};
         }
         EndpointEstimate late;
         double takenAt = 0;
-        for (const auto &[time, report] : one.reports) {
+        for (const auto &[time, report] : target.reports) {
             if (time <= this->now - this->options.reportLag) {
                 late = report;
                 takenAt = time;
@@ -276,53 +280,53 @@
         return late;
     }
 
-    void pump(std::size_t host)
+    void startCalls(std::size_t host)
     {
-        Host &one = this->hosts[host];
-        while (const auto next = one.queue.start(this->countersOf(host))) {
-            Flight &flight = this->flights.at(next->id);
-            ProgramState &state = this->stateOf(flight.call.program);
+        Host &target = this->hosts[host];
+        while (const auto next = target.queue.start(this->countersOf(host))) {
+            ActiveCall &active = this->activeCalls.at(next->id);
+            ProgramState &state = this->stateOf(active.call.program);
             if (state.exported > 0 && state.host == static_cast<int>(host)) {
-                one.engine.load(flight.call.program, state.exported);
+                target.engine.load(active.call.program, state.exported);
             }
             state.exported = 0;
-            const double hit = one.engine.start(flight.call);
-            flight.uncached = flight.call.promptTokens - hit;
+            const double hit = target.engine.start(active.call);
+            active.uncached = active.call.promptTokens - hit;
             this->measures.recomputed += std::max(0.0, state.computed - hit);
             state.host = static_cast<int>(host);
             this->index.setCachedTokens(
-                hostId(host), idOf(flight.call.program), flight.call.promptTokens + flight.call.outputTokens);
+                hostId(host), idOf(active.call.program), active.call.promptTokens + active.call.outputTokens);
         }
-        if (!one.stepping && !one.engine.running.empty()) {
+        if (!target.stepping && !target.engine.running.empty()) {
             this->step(host);
         }
     }
 
     void step(std::size_t host)
     {
-        Host &one = this->hosts[host];
+        Host &target = this->hosts[host];
         auto ended = std::make_shared<std::vector<EngineCall>>();
-        const double length = one.engine.step(*ended) / 1e3;
-        one.stepping = true;
-        this->at(this->now + length, [this, host, ended, generation = one.generation]() {
-            Host &same = this->hosts[host];
-            if (same.generation != generation) {
+        const double length = target.engine.step(*ended) / 1e3;
+        target.stepping = true;
+        this->at(this->now + length, [this, host, ended, generation = target.generation]() {
+            Host &current = this->hosts[host];
+            if (current.generation != generation) {
                 return;
             }
-            same.stepping = false;
+            current.stepping = false;
             for (const EngineCall &call : *ended) {
                 this->complete(host, call);
             }
-            this->pump(host);
+            this->startCalls(host);
         });
     }
 
     void complete(std::size_t host, const EngineCall &call)
     {
-        const Flight flight = this->flights.at(call.id);
-        this->flights.erase(call.id);
+        const ActiveCall active = this->activeCalls.at(call.id);
+        this->activeCalls.erase(call.id);
         this->hosts[host].queue.remove(call.id, this->countersOf(host));
-        const double service = flight.uncached * PrefillCost + call.outputTokens;
+        const double service = active.uncached * PrefillCost + call.outputTokens;
         const int customer = this->shapeOf(call.program).customer;
         this->countersOf(host).charge(CustomerId{this->mix.customers[static_cast<std::size_t>(customer)].name},
             call.outputTokens - this->meanOutput);
@@ -343,37 +347,37 @@
     void pause(int program, const Turn &turn)
     {
         ProgramState &state = this->stateOf(program);
-        Host &one = this->hosts[static_cast<std::size_t>(state.host)];
+        Host &target = this->hosts[static_cast<std::size_t>(state.host)];
         PauseStatistics &statistics = this->pauses[static_cast<std::size_t>(turn.service)];
         state.pausedAt = this->now;
-        state.pauseOver = false;
-        PauseEstimate outlook;
-        outlook.expectedSeconds = statistics.expectedSeconds();
-        outlook.tokens = state.history;
-        outlook.turnoverSeconds =
-            one.turnoverTokens <= 0 ? 1e9 : one.engine.shape.cacheTokens / (one.turnoverTokens / FadeSeconds);
-        const double stalled = static_cast<double>(one.engine.shape.batch); // Prefill holds up the whole batch.
-        outlook.recomputeSeconds = state.history * one.engine.shape.prefillMsPerToken / 1e3 * stalled;
-        outlook.transferSeconds = state.history * TransferMsPerToken / 1e3;
-        outlook.canExport = true;
-        const Retention decided = this->keep.decide(outlook);
+        state.isToolCallDone = false;
+        PauseEstimate pauseEstimate;
+        pauseEstimate.expectedSeconds = statistics.expectedSeconds();
+        pauseEstimate.tokens = state.history;
+        pauseEstimate.turnoverSeconds =
+            target.turnoverTokens <= 0 ? 1e9 : target.engine.shape.cacheTokens / (target.turnoverTokens / DecaySeconds);
+        const double stalled = static_cast<double>(target.engine.shape.batch); // Prefill delays the whole batch.
+        pauseEstimate.recomputeSeconds = state.history * target.engine.shape.prefillMsPerToken / 1e3 * stalled;
+        pauseEstimate.transferSeconds = state.history * TransferMsPerToken / 1e3;
+        pauseEstimate.canExport = true;
+        const Retention decided = this->retention.decide(pauseEstimate);
         if (decided == Retention::Hold) {
-            one.engine.pin(program, true);
+            target.engine.pin(program, true);
         } else {
-            state.exported = decided == Retention::Export ? one.engine.cachedTokens(program) : 0;
-            one.engine.drop(program);
+            state.exported = decided == Retention::Export ? target.engine.cachedTokens(program) : 0;
+            target.engine.drop(program);
             if (decided == Retention::Drop) {
                 this->index.setCachedTokens(hostId(static_cast<std::size_t>(state.host)), idOf(program), 0);
             }
         }
         if (turn.helper >= 0) {
-            state.helperRuns = true;
+            state.isHelperRunning = true;
             this->begin(turn.helper);
         }
-        const double transfer = decided == Retention::Export ? outlook.transferSeconds : 0;
+        const double transfer = decided == Retention::Export ? pauseEstimate.transferSeconds : 0;
         this->at(this->now + turn.pauseSeconds + transfer, [this, program, &statistics, turn]() {
             statistics.record(turn.pauseSeconds);
-            this->stateOf(program).pauseOver = true;
+            this->stateOf(program).isToolCallDone = true;
             this->resume(program);
         });
     }
@@ -381,17 +385,17 @@
     void resume(int program)
     {
         ProgramState &state = this->stateOf(program);
-        if (!state.pauseOver || state.helperRuns) {
+        if (!state.isToolCallDone || state.isHelperRunning) {
             return;
         }
         state.pausedAt = -1;
-        this->ready(program);
+        this->sendNextCall(program);
     }
 
     void end(int program)
     {
         ProgramState &state = this->stateOf(program);
-        state.over = true;
+        state.ended = true;
         ++this->measures.ended;
         if (this->options.releaseEnded) {
             for (Host &host : this->hosts) {
@@ -400,11 +404,11 @@
         }
         const int parent = this->shapeOf(program).parent;
         if (parent >= 0) {
-            this->stateOf(parent).helperRuns = false;
+            this->stateOf(parent).isHelperRunning = false;
             this->resume(parent);
             return;
         }
-        this->latencies.emplace_back(this->now - state.begun, this->shapeOf(program).customer);
+        this->latencies.emplace_back(this->now - state.startedAt, this->shapeOf(program).customer);
     }
 
     void evicted(std::size_t host, int program)
@@ -427,13 +431,13 @@
                 host.reports.pop_front();
             }
             host.turnoverTokens =
-                host.turnoverTokens * (1 - SampleSeconds / FadeSeconds) + host.engine.evicted - host.evictedBefore;
+                host.turnoverTokens * (1 - SampleSeconds / DecaySeconds) + host.engine.evicted - host.evictedBefore;
             host.evictedBefore = host.engine.evicted;
             for (std::size_t i = 0; i < this->programs.size(); ++i) {
                 const ProgramState &state = this->programs[i];
                 const double tokens =
-                    state.over || state.pausedAt >= 0 ? host.engine.cachedTokens(static_cast<int>(i)) : 0;
-                (state.over ? this->measures.endedTokenSeconds : this->measures.pausedTokenSeconds) +=
+                    state.ended || state.pausedAt >= 0 ? host.engine.cachedTokens(static_cast<int>(i)) : 0;
+                (state.ended ? this->measures.endedTokenSeconds : this->measures.pausedTokenSeconds) +=
                     tokens * SampleSeconds;
             }
         }
@@ -445,14 +449,15 @@
         });
     }
 
-    /** Both forms of the worst share: with all that is under way as demand not yet served, and with what running calls
-     * have had as served and what is left of them not yet as demand, as no order can serve that sooner. */
+    /** Computes both forms of the worst share. The first counts all calls that wait or run as demand that is not
+     * served. The second counts the decoded tokens of running calls as served and their remaining tokens not as demand,
+     * as no order could serve those earlier. */
     void measureShares()
     {
         std::vector<double> demand = this->served;
-        for (const auto &[id, flight] : this->flights) {
-            demand[static_cast<std::size_t>(this->shapeOf(flight.call.program).customer)] +=
-                flight.call.outputTokens + flight.uncached * PrefillCost;
+        for (const auto &[id, active] : this->activeCalls) {
+            demand[static_cast<std::size_t>(this->shapeOf(active.call.program).customer)] +=
+                active.call.outputTokens + active.uncached * PrefillCost;
         }
         this->measures.worstShareOfAllDemand = this->worstShareOf(demand);
         for (const Host &host : this->hosts) {
@@ -462,17 +467,17 @@
             }
         }
         demand = this->served;
-        for (const auto &[id, flight] : this->flights) {
-            if (!this->hosts[flight.host].queue.isRunning(id)) {
-                demand[static_cast<std::size_t>(this->shapeOf(flight.call.program).customer)] +=
-                    flight.call.outputTokens;
+        for (const auto &[id, active] : this->activeCalls) {
+            if (!this->hosts[active.host].queue.isRunning(id)) {
+                demand[static_cast<std::size_t>(this->shapeOf(active.call.program).customer)] +=
+                    active.call.outputTokens;
             }
         }
         this->measures.worstShare = this->worstShareOf(demand);
     }
 
-    /** Least of served over fair share by weighted max-min of what was served in all, bounded by each customer's
-     * @p demand. */
+    /** Lowest ratio of served tokens to fair share of any customer. The fair share is the weighted max-min share of all
+     * served tokens, limited by each customer's @p demand. */
     [[nodiscard]] double worstShareOf(const std::vector<double> &demand) const
     {
         double left = std::accumulate(this->served.begin(), this->served.end(), 0.0);
@@ -501,7 +506,7 @@
         return worst;
     }
 
-    /** An engine is lost for half a minute, and then an entry, with the counts that it kept. */
+    /** Schedules the loss of an engine for half a minute, and then the loss of an entry together with its counts. */
     void planFaults()
     {
         this->at(FaultSecond, [this]() {
@@ -512,13 +517,13 @@
             lost.engine.crash();
             this->index.forget(hostId(0));
             std::vector<EngineCall> moved;
-            for (const auto &[id, flight] : this->flights) {
-                if (flight.host == 0) {
-                    moved.push_back(flight.call);
+            for (const auto &[id, active] : this->activeCalls) {
+                if (active.host == 0) {
+                    moved.push_back(active.call);
                 }
             }
             for (EngineCall call : moved) {
-                this->flights.erase(call.id);
+                this->activeCalls.erase(call.id);
                 lost.queue.remove(call.id, this->countersOf(0));
                 call.id = this->nextCall++;
                 ++this->measures.retries;
@@ -536,14 +541,15 @@
         });
     }
 
-    /** Entries that can't reach the dispatcher use the whole entries' shares of its endpoints' batches. */
+    /** Sets the limits of the endpoints of dispatcher 1. While it is lost, each other entry may use its share of their
+     * batches. */
     void setFallback(bool lost)
     {
         for (std::size_t host = 1; host < this->hosts.size(); host += this->options.dispatchers) {
             const std::size_t batch = this->hosts[host].engine.shape.batch;
             const std::size_t share = batch / this->options.dispatchers;
-            this->hosts[host].queue.bounds.inFlight = lost ? share * (this->options.dispatchers - 1) : batch;
-            this->pump(host);
+            this->hosts[host].queue.limits.maxInFlight = lost ? share * (this->options.dispatchers - 1) : batch;
+            this->startCalls(host);
         }
     }
 
@@ -566,42 +572,43 @@
         }
     }
 
+    /** A call that load reports may not include yet. */
     struct SentCall
     {
-        double time = 0; ///< When it was sent.
-        std::size_t entry = 0; ///< By whom.
-        std::size_t host = 0; ///< Where to.
-        double tokens = 0; ///< Expected.
+        double time = 0; ///< Time when it was sent, in seconds.
+        std::size_t entry = 0; ///< Entry that sent it.
+        std::size_t host = 0; ///< Host that it was sent to.
+        double tokens = 0; ///< Expected tokens.
     };
 
     static constexpr double SampleSeconds = 0.5;
-    static constexpr double FadeSeconds = 10;
+    static constexpr double DecaySeconds = 10;
     static constexpr double TransferMsPerToken = 0.01;
     static constexpr double FaultSecond = 110;
     static constexpr double FailoverSeconds = 3.6;
     static constexpr std::size_t MaxReports = 32;
 
     const Mix &mix; ///< Outlives the model.
-    Options options; ///< Of the run.
-    Choice choice; ///< Of endpoints.
-    Keep keep; ///< Of pausing programs' cache.
+    Options options; ///< Settings of the run.
+    Choice choice; ///< Policy for the choice of an endpoint.
+    RetentionPolicy retention; ///< Policy for the cache of pausing programs.
     std::vector<ProgramState> programs; ///< By index in the mix.
-    std::vector<FairCounters> fairness; ///< By dispatcher.
-    std::vector<double> served; ///< Tokens by customer.
+    std::vector<FairCounters> fairness; ///< Fair counters by dispatcher.
+    std::vector<double> served; ///< Served tokens by customer.
     std::deque<Host> hosts; ///< Engines with their queues.
-    PrefixIndex index; ///< What the entries believe.
-    std::array<PauseStatistics, 2> pauses; ///< By service.
-    std::priority_queue<Event> events; ///< What happens next.
-    std::map<std::uint64_t, Flight> flights; ///< Calls that wait or run.
-    std::deque<SentCall> sent; ///< Lately, for corrected reports.
-    std::vector<std::pair<double, int>> latencies; ///< Of ended programs, with the customer.
-    Measures measures; ///< So far.
-    double now = 0; ///< In seconds.
-    double meanOutput = 120; ///< Of all answers so far, faded.
-    std::uint64_t nextSequence = 0; ///< Of events.
-    std::uint64_t nextCall = 1; ///< Id.
-    std::uint64_t choiceState = 0; ///< Of the rule.
-    std::uint64_t random = 99; ///< For lost events.
+    PrefixIndex index; ///< Estimated contents of the caches, shared by all entries.
+    std::array<PauseStatistics, 2> pauses; ///< Pause statistics by service.
+    std::priority_queue<Event> events; ///< Pending events.
+    std::map<std::uint64_t, ActiveCall> activeCalls; ///< Calls that wait or run, by id.
+    std::deque<SentCall> sent; ///< Recently sent calls, for corrected reports.
+    std::vector<std::pair<double, int>> latencies; ///< Latency in seconds and customer of each ended root program.
+    Measures measures; ///< Results so far.
+    double now = 0; ///< Virtual time in seconds.
+    double meanOutput = 120; ///< Decayed mean length of answers in tokens.
+    std::uint64_t nextSequence = 0; ///< Sequence number of the next event.
+    std::uint64_t nextCall = 1; ///< Id of the next call.
+    std::uint64_t choiceState = 0; ///< State of the choice policy.
+    std::uint64_t random = 99; ///< State of the random generator for lost events.
 };
 
 } // namespace Chestnuthook::Model
--- a/src/policy/endpoint_choice_func.h
+++ b/src/policy/endpoint_choice_func.h
@@ -1,4 +1,4 @@
-/** @file endpoint_choice_func.h  Choice of an endpoint for a call: rules behind one concept. */
+/** @file endpoint_choice_func.h  Load balancing: rules that choose an endpoint for a call. */
 #pragma once
 
 #include <concepts>
@@ -12,25 +12,26 @@
 namespace Chestnuthook
 {
 
-/** What is known of one fitting endpoint; may be late. */
+/** Estimated state of one candidate endpoint; may be out of date. */
 struct EndpointEstimate
 {
-    std::size_t inFlight = 0; ///< Calls that run or wait there.
-    double backlogTokens = 0; ///< Their expected tokens, prefill at its cost in decoded tokens.
-    double cachedTokens = 0; ///< Of this call's prompt.
+    std::size_t inFlight = 0; ///< Calls that run or wait at the endpoint.
+    double backlogTokens = 0; ///< Expected tokens of these calls; prefill is weighted by PrefillCost.
+    double cachedTokens = 0; ///< Tokens of this call's prompt that the endpoint has cached.
 };
 
-/** What is known of the call. */
+/** Estimated size of a call. */
 struct CallEstimate
 {
-    double promptTokens = 0; ///< History included.
-    double outputTokens = 0; ///< Expected.
+    double promptTokens = 0; ///< Tokens of the prompt, including the history.
+    double outputTokens = 0; ///< Expected tokens of the answer.
 };
 
-/** Cost of one prefilled token over that of one decoded token in a full batch. */
+/** Cost of prefilling one token relative to that of decoding one token in a full batch. */
 constexpr double PrefillCost = 0.15;
 
-/** Picks an index into @p endpoints, which is not empty; @p state is the rule's own memory. */
+/** A rule that returns an index into @p endpoints, which is not empty. @p state belongs to the rule and is kept between
+ * its calls. */
 template<typename T>
 concept EndpointChoice = requires(
     const T &rule, std::span<const EndpointEstimate> endpoints, const CallEstimate &call, std::uint64_t &state)
@@ -40,6 +41,7 @@
         } -> std::same_as<std::size_t>;
 };
 
+/** Endpoints in turn. */
 struct RoundRobin
 {
     [[nodiscard]] std::size_t choose(
@@ -49,6 +51,7 @@
     }
 };
 
+/** The endpoint with the fewest calls in flight; ties are broken in turn. */
 struct LeastLoaded
 {
     [[nodiscard]] std::size_t choose(
@@ -64,6 +67,7 @@
     }
 };
 
+/** The less loaded of two endpoints that are drawn at random. */
 struct PowerOfTwoChoices
 {
     [[nodiscard]] std::size_t choose(
@@ -75,7 +79,8 @@
     }
 };
 
-/** Always where most of the prompt is cached; for the bound on recomputed tokens. */
+/** The endpoint with the most cached tokens of the prompt, whatever its load; a lower bound for recomputed tokens in
+ * benchmarks. */
 struct StrictCacheAffinity
 {
     [[nodiscard]] std::size_t choose(
@@ -89,10 +94,12 @@
     }
 };
 
-/** Least predicted completion: backlog, then prefill of what is not cached, then decode. */
+/** The endpoint with the earliest predicted completion: its backlog, then prefill of the tokens that are not cached,
+ * then decode. */
 struct PredictedCompletion
 {
-    double cacheWeight = 16; ///< Tokens of backlog that a token of prefill outweighs; more keeps programs in place.
+    double cacheWeight = 16; ///< Weight of a token to prefill against a token of backlog; higher values keep
+                             ///< programs at their endpoint.
 
     [[nodiscard]] std::size_t choose(
         std::span<const EndpointEstimate> endpoints, const CallEstimate &call, std::uint64_t &state) const
--- a/src/policy/endpoint_health_base.h
+++ b/src/policy/endpoint_health_base.h
@@ -1,4 +1,4 @@
-/** @file endpoint_health_base.h  Which endpoints get nothing for a while, by what became of the calls there. */
+/** @file endpoint_health_base.h  Passive health check of endpoints, from the outcome of calls to them. */
 #pragma once
 
 #include <algorithm>
@@ -10,59 +10,62 @@
 namespace Chestnuthook
 {
 
-/** How an attempt looked from outside. */
+/** Outcome of an attempt, as seen by the client side of the connection. */
 enum class ConnectionOutcome : std::uint8_t {
-    Answered, ///< A whole answer, whatever its status.
-    Broken, ///< The connection broke or timed out after something was sent.
-    Unreachable, ///< No connection was made.
+    Answered, ///< A complete answer, with any status.
+    Broken, ///< The connection failed or timed out after a part of the request was sent.
+    Unreachable, ///< No connection was established.
 };
 
-/** Covers the lag of the platform's list: an endpoint that can't be reached is left out at once, for a time that
- * doubles with each further failure; after it one call probes the endpoint. */
+/** Circuit breaker for each endpoint. It bridges the delay until the platform's list drops a failed endpoint: an
+ * endpoint that can't be reached gets no calls for a backoff that doubles with each further failure. After the backoff
+ * one call probes the endpoint. */
 class EndpointHealth
 {
 public:
-    static constexpr Duration FirstPause = std::chrono::milliseconds(500);
-    static constexpr Duration LongestPause = std::chrono::milliseconds(8000);
-    /** Broken calls in a row that count as one failure to reach the endpoint. */
-    static constexpr int BrokenLimit = 3;
+    static constexpr Duration MinBackoff = std::chrono::milliseconds(500);
+    static constexpr Duration MaxBackoff = std::chrono::milliseconds(8000);
+    /** Consecutive broken calls that count as one failure to reach the endpoint. */
+    static constexpr int BrokenCallsPerFailure = 3;
 
-    void record(const EndpointId &endpoint, ConnectionOutcome sign, Instant now)
+    void record(const EndpointId &endpoint, ConnectionOutcome outcome, Instant now)
     {
-        if (sign == ConnectionOutcome::Answered) {
+        if (outcome == ConnectionOutcome::Answered) {
             this->rows.erase(endpoint);
             return;
         }
         Row &row = this->rows[endpoint];
-        const bool fails = sign == ConnectionOutcome::Unreachable || ++row.broken % BrokenLimit == 0;
-        if (fails && now >= row.until) {
-            row.pause = std::min(LongestPause, row.pause.count() == 0 ? FirstPause : row.pause * 2);
-            row.until = now + row.pause;
+        const bool isFailure =
+            outcome == ConnectionOutcome::Unreachable || ++row.brokenCalls % BrokenCallsPerFailure == 0;
+        if (isFailure && now >= row.blockedUntil) {
+            row.backoff = std::min(MaxBackoff, row.backoff.count() == 0 ? MinBackoff : row.backoff * 2);
+            row.blockedUntil = now + row.backoff;
         }
     }
 
-    /** Whether calls may go there; the first one after a pause is the probe and holds off others for FirstPause. */
+    /** Whether calls may be sent to @p endpoint. The first call after a backoff is the probe, see onSelected(). */
     [[nodiscard]] bool usable(const EndpointId &endpoint, Instant now) const
     {
         const auto row = this->rows.find(endpoint);
-        return row == this->rows.end() || now >= row->second.until;
+        return row == this->rows.end() || now >= row->second.blockedUntil;
     }
+    /** @p endpoint was chosen for a call. After a backoff this call is the probe: no others are sent for MinBackoff. */
     void onSelected(const EndpointId &endpoint, Instant now)
     {
         const auto row = this->rows.find(endpoint);
-        if (row != this->rows.end() && row->second.pause.count() > 0) {
-            row->second.until = now + FirstPause;
+        if (row != this->rows.end() && row->second.backoff.count() > 0) {
+            row->second.blockedUntil = now + MinBackoff;
         }
     }
 
 private:
     struct Row
     {
-        int broken = 0; ///< Broken calls since the last answer.
-        Duration pause{0}; ///< The present or last pause.
-        Instant until; ///< Nothing goes there before.
+        int brokenCalls = 0; ///< Broken calls since the last answer.
+        Duration backoff{0}; ///< Current or last backoff.
+        Instant blockedUntil; ///< No calls are sent before this time.
     };
-    std::map<EndpointId, Row> rows; ///< Endpoints that failed since their last answer.
+    std::map<EndpointId, Row> rows; ///< Endpoints with a failure since their last answer.
 };
 
 } // namespace Chestnuthook
--- a/src/policy/endpoint_queue_base.h
+++ b/src/policy/endpoint_queue_base.h
@@ -1,4 +1,4 @@
-/** @file endpoint_queue_base.h  The calls in flight and waiting at one endpoint, as its dispatcher counts them. */
+/** @file endpoint_queue_base.h  Queue of calls for one endpoint at its dispatcher, with the calls in flight. */
 #pragma once
 
 #include <algorithm>
@@ -14,65 +14,68 @@
 namespace Chestnuthook
 {
 
-/** Bounds of one endpoint. */
+/** Limits of one endpoint's queue. */
 struct EndpointLimits
 {
-    std::size_t inFlight = 32; ///< Calls that may run at the same time.
-    std::size_t waiting = 512; ///< Calls that may wait.
-    bool fair = true; ///< Serve customers by their counters; else all calls by the order alone.
+    std::size_t maxInFlight = 32; ///< Maximum number of calls that run at the same time.
+    std::size_t maxWaiting = 512; ///< Maximum number of calls that wait.
+    bool fair = true; ///< Whether customers are served by their fair counters; otherwise only the queue order counts.
 };
 
-/** Invariants: at most bounds.inFlight calls run, each id is in flight at most once, and while an isolated call runs
- * nothing else does. Pure. */
+/** Calls that wait or run at one endpoint. Does no I/O and reads no clock.
+ *
+ * Invariants: start() lets at most limits.maxInFlight calls run, each id is in flight at most once, and start() lets
+ * no other call run beside an isolated one. adopt() counts calls that run already beyond these
+ * limits. */
 template<QueueOrder Order>
 class EndpointQueue
 {
 public:
     explicit EndpointQueue(EndpointLimits given = {}, Order rule = {})
-        : bounds(given)
+        : limits(given)
         , order(rule)
     {
     }
 
-    /** Adds a call. @return the id of the call that was shed for want of room, which may be @p call's own: the newest
-     * call of the customer that waits for most by its weight. */
+    /** Adds a call. @return the id of the call that was shed because the queue is full, which may be that of @p call:
+     * the newest call of the customer with the most waiting calls relative to its weight. */
     std::optional<std::uint64_t> push(const QueuedCall &call, FairCounters &fairness)
     {
         if (this->customerOf.contains(call.id)) {
-            return std::nullopt; // A resend.
+            return std::nullopt; // The request was resent.
         }
         fairness.enter(call.customer);
         this->customerOf[call.id] = call.customer;
         this->waiting[call.customer].emplace(std::pair{this->order.key(call), call.id}, call);
         this->waitingTokensSum += call.expectedTokens;
-        if (++this->waitingCount <= this->bounds.waiting) {
+        if (++this->waitingCount <= this->limits.maxWaiting) {
             return std::nullopt;
         }
-        const std::uint64_t shed = this->newestOf(this->mostWaiting(fairness));
+        const std::uint64_t shed = this->newestWaitingCall(this->mostWaitingCustomer(fairness));
         this->remove(shed, fairness);
         return shed;
     }
 
-    /** Takes the next call that may start, and counts it as in flight. */
+    /** Moves the next call from the queue to the calls in flight. @return the call; nothing if none may start. */
     std::optional<QueuedCall> start(FairCounters &fairness)
     {
-        if (this->waitingCount == 0 || this->running.size() >= this->bounds.inFlight || this->isolatedRuns) {
+        if (this->waitingCount == 0 || this->running.size() >= this->limits.maxInFlight || this->isIsolatedRunning) {
             return std::nullopt;
         }
         const CustomerId customer = this->nextCustomer(fairness);
         const QueuedCall call = this->waiting[customer].begin()->second;
         if (call.isolated && !this->running.empty()) {
-            return std::nullopt; // Its turn has come: what runs is let end first.
+            return std::nullopt; // The isolated call is next; wait until all running calls have ended.
         }
-        this->drop(call);
+        this->removeWaiting(call);
         this->running.emplace(call.id, call);
         this->runningTokensSum += call.expectedTokens;
-        this->isolatedRuns = call.isolated;
+        this->isIsolatedRunning = call.isolated;
         fairness.charge(call.customer, call.expectedTokens);
         return call;
     }
 
-    /** Counts a call that runs already, whatever the bounds say. A call that waited starts. */
+    /** Adds a call that runs already, regardless of the limits. If it is waiting, it becomes a call in flight. */
     void adopt(const QueuedCall &call, FairCounters &fairness)
     {
         if (this->running.contains(call.id)) {
@@ -84,10 +87,11 @@
         this->customerOf[call.id] = call.customer;
         this->running.emplace(call.id, call);
         this->runningTokensSum += call.expectedTokens;
-        this->isolatedRuns = this->isolatedRuns || call.isolated;
+        this->isIsolatedRunning = this->isIsolatedRunning || call.isolated;
     }
 
-    /** A call ended, or was given up while it waited. @return false where it is unknown, such as on a resend. */
+    /** Removes a call that ended, or was cancelled while it waited. @return false if it is unknown, for example because
+     * the message was resent. */
     bool remove(std::uint64_t id, FairCounters &fairness)
     {
         const auto customer = this->customerOf.find(id);
@@ -97,7 +101,7 @@
         fairness.leave(customer->second);
         const auto runs = this->running.find(id);
         if (runs != this->running.end()) {
-            this->isolatedRuns = this->isolatedRuns && !runs->second.isolated;
+            this->isIsolatedRunning = this->isIsolatedRunning && !runs->second.isolated;
             this->runningTokensSum -= runs->second.expectedTokens;
             this->running.erase(runs);
         } else {
@@ -105,7 +109,7 @@
             const auto found = std::find_if(calls.begin(), calls.end(), [&](const auto &entry) {
                 return entry.first.second == id;
             });
-            this->drop(QueuedCall(found->second));
+            this->removeWaiting(QueuedCall(found->second));
         }
         this->customerOf.erase(id);
         return true;
@@ -119,7 +123,7 @@
     {
         return this->waitingCount;
     }
-    /** Expected tokens of all calls that wait or run. */
+    /** Sum of the expected tokens of all calls that wait or run. */
     [[nodiscard]] double backlogTokens() const
     {
         return this->waitingTokensSum + this->runningTokensSum;
@@ -133,12 +137,12 @@
         return this->running.contains(id);
     }
 
-    EndpointLimits bounds; ///< May change at any time; nothing running is stopped by it.
+    EndpointLimits limits; ///< May change at any time; calls that run are not stopped.
 
 private:
     using Calls = std::map<std::pair<double, std::uint64_t>, QueuedCall>;
 
-    void drop(const QueuedCall &call)
+    void removeWaiting(const QueuedCall &call)
     {
         const auto calls = this->waiting.find(call.customer);
         calls->second.erase(std::pair{this->order.key(call), call.id});
@@ -149,11 +153,12 @@
         --this->waitingCount;
     }
 
+    /** Customer whose call starts next; at least one call must wait. */
     CustomerId nextCustomer(const FairCounters &fairness) const
     {
         const auto next =
             std::min_element(this->waiting.begin(), this->waiting.end(), [&](const auto &left, const auto &right) {
-                if (!this->bounds.fair) {
+                if (!this->limits.fair) {
                     return left.second.begin()->first < right.second.begin()->first;
                 }
                 return fairness.counter(left.first) < fairness.counter(right.first);
@@ -161,7 +166,8 @@
         return next->first;
     }
 
-    CustomerId mostWaiting(const FairCounters &fairness) const
+    /** Customer with the most waiting calls relative to its weight. */
+    CustomerId mostWaitingCustomer(const FairCounters &fairness) const
     {
         const auto most =
             std::max_element(this->waiting.begin(), this->waiting.end(), [&](const auto &left, const auto &right) {
@@ -171,7 +177,8 @@
         return most->first;
     }
 
-    std::uint64_t newestOf(const CustomerId &customer) const
+    /** Id of the waiting call of @p customer that arrived last. */
+    std::uint64_t newestWaitingCall(const CustomerId &customer) const
     {
         const Calls &calls = this->waiting.at(customer);
         const auto newest = std::max_element(calls.begin(), calls.end(), [](const auto &left, const auto &right) {
@@ -181,14 +188,14 @@
         return newest->first.second;
     }
 
-    Order order; ///< Within a customer, or among all calls.
-    std::map<CustomerId, Calls> waiting; ///< No customer with an empty queue.
-    std::map<std::uint64_t, QueuedCall> running; ///< In flight, by id.
-    std::map<std::uint64_t, CustomerId> customerOf; ///< Of all calls that wait or run.
-    std::size_t waitingCount = 0; ///< Of all customers.
-    double waitingTokensSum = 0; ///< Of all waiting calls.
-    double runningTokensSum = 0; ///< Of all running calls.
-    bool isolatedRuns = false; ///< The one call in flight is isolated.
+    Order order; ///< Order of calls of one customer, or of all calls without fairness.
+    std::map<CustomerId, Calls> waiting; ///< Waiting calls by customer; has no customer without waiting calls.
+    std::map<std::uint64_t, QueuedCall> running; ///< Calls in flight, by id.
+    std::map<std::uint64_t, CustomerId> customerOf; ///< Customer of each call that waits or runs.
+    std::size_t waitingCount = 0; ///< Waiting calls of all customers.
+    double waitingTokensSum = 0; ///< Expected tokens of all waiting calls.
+    double runningTokensSum = 0; ///< Expected tokens of all calls in flight.
+    bool isIsolatedRunning = false; ///< An isolated call is in flight.
 };
 
 } // namespace Chestnuthook
--- a/src/policy/fair_counter_base.h
+++ b/src/policy/fair_counter_base.h
@@ -1,4 +1,5 @@
-/** @file fair_counter_base.h  Virtual token counters: the customer with the least service by weight goes first. */
+/** @file fair_counter_base.h  Fair queueing by virtual token counters: the customer with the least service relative to
+ * its weight is served first. */
 #pragma once
 
 #include <algorithm>
@@ -10,8 +11,11 @@
 namespace Chestnuthook
 {
 
-/** Invariant: among customers that have work all the time, counters differ by at most the largest call over the weight.
- * A customer that was idle begins at the least counter of the active ones, so idle time earns nothing. */
+/** Counters of the service that each customer received.
+ *
+ * Invariant: the counters of customers that always have work differ by at most the largest call divided by the weight.
+ * The counter of a customer that was idle is raised to the lowest counter of the active customers, so a customer gains
+ * no credit while idle. */
 class FairCounters
 {
 public:
@@ -20,14 +24,14 @@
         this->rows[customer].weight = std::max(weight, MinWeight);
     }
 
-    /** One more call of @p customer waits or runs. */
+    /** Registers a call of @p customer that waits or runs. */
     void enter(const CustomerId &customer)
     {
         Row &row = this->rows[customer];
-        if (row.active++ == 0) {
+        if (row.activeCalls++ == 0) {
             double least = std::numeric_limits<double>::infinity();
             for (const auto &[id, other] : this->rows) {
-                if (other.active > 0 && id != customer) {
+                if (other.activeCalls > 0 && id != customer) {
                     least = std::min(least, other.counter);
                 }
             }
@@ -37,14 +41,14 @@
         }
     }
 
-    /** A call of @p customer has ended or left the queue. */
+    /** Unregisters a call of @p customer that ended or left the queue. */
     void leave(const CustomerId &customer)
     {
         Row &row = this->rows[customer];
-        row.active = std::max(0, row.active - 1);
+        row.activeCalls = std::max(0, row.activeCalls - 1);
     }
 
-    /** Adds service; below zero corrects an estimate that was too high. */
+    /** Adds served tokens; a negative value corrects an estimate that was too high. */
     void charge(const CustomerId &customer, double tokens)
     {
         Row &row = this->rows[customer];
@@ -66,11 +70,11 @@
     static constexpr double MinWeight = 0.01;
     struct Row
     {
-        double weight = 1; ///< Declared share.
-        double counter = 0; ///< Tokens served, over the weight.
-        int active = 0; ///< Calls that wait or run.
+        double weight = 1; ///< Declared weight.
+        double counter = 0; ///< Served tokens divided by the weight.
+        int activeCalls = 0; ///< Calls that wait or run.
     };
-    std::map<CustomerId, Row> rows; ///< By customer; declared ones only, so bounded.
+    std::map<CustomerId, Row> rows; ///< By customer; bounded, as only declared customers are added.
 };
 
 } // namespace Chestnuthook
--- a/src/policy/permit_table_base.h
+++ b/src/policy/permit_table_base.h
@@ -1,4 +1,5 @@
-/** @file permit_table_base.h  A dispatcher's count of the permits of its endpoints: who runs and who waits. Pure. */
+/** @file permit_table_base.h  Permits for the endpoints of one dispatcher: which calls run and which wait. Does no I/O
+ * and reads no clock. */
 #pragma once
 
 #include <compare>
@@ -14,30 +15,33 @@
 namespace Chestnuthook
 {
 
-/** A permit as its asker named it. */
+/** Identifies a permit, as chosen by the requester. */
 struct PermitKey
 {
-    EntryId entry; ///< The asker's process.
-    std::uint64_t permit = 0; ///< Unique in that process.
+    EntryId entry; ///< Requesting process.
+    std::uint64_t permit = 0; ///< Unique within that process.
     auto operator<=>(const PermitKey &) const = default;
 };
 
+/** Answer to a request for a permit. */
 enum class PermitState : std::uint8_t {
-    Waiting, ///< A grant will be told.
-    Running, ///< May be used, or is in use.
-    Shed, ///< There is no room for it.
+    Waiting, ///< Queued; the grant is sent later.
+    Running, ///< Granted; the call may run or runs.
+    Shed, ///< Rejected, because the queue is full.
 };
 
-/** Invariants: a permit is counted at most once however often it is asked for, until it is released or its entry's
- * lease ends; a released permit is never granted again. */
+/** Permits that wait or run at the endpoints of one dispatcher.
+ *
+ * Invariants: a permit is counted at most once however often it is requested, until it is released or the lease of its
+ * entry ends. A permit that is known as released is never granted again. */
 class PermitTable
 {
 public:
-    /** Asks for a permit, or again for one asked for before. */
+    /** Requests a permit. The request may be repeated. */
     PermitState ask(const EndpointId &endpoint, const PermitKey &key, QueuedCall call)
     {
-        if (this->ended.contains(key)) {
-            return PermitState::Waiting; // A message that was overtaken by the release; its asker does not wait.
+        if (this->released.contains(key)) {
+            return PermitState::Waiting; // The release overtook this message, so the requester no longer waits.
         }
         Queue &queue = this->queues[endpoint];
         const auto [id, added] = this->ids.try_emplace(key, this->nextId);
@@ -47,22 +51,22 @@
         }
         call.id = id->second;
         if (const auto shed = added ? queue.push(call, this->fairness) : std::nullopt) {
-            const PermitKey lost = this->keys.at(*shed).first;
+            const PermitKey shedKey = this->keys.at(*shed).first;
             this->forget(*shed);
-            if (lost == key) {
+            if (shedKey == key) {
                 return PermitState::Shed;
             }
-            this->shed.push_back(lost);
+            this->shed.push_back(shedKey);
         }
         this->startNext(endpoint);
-        std::erase(this->granted, key); // The answer tells it.
+        std::erase(this->granted, key); // The return value reports this grant.
         return queue.isRunning(call.id) ? PermitState::Running : PermitState::Waiting;
     }
 
-    /** Counts a permit that is in use already: an earlier dispatcher granted it, or none could be reached. */
+    /** Adds a permit that is in use already: an earlier dispatcher granted it, or no dispatcher was reachable. */
     void adopt(const EndpointId &endpoint, const PermitKey &key, QueuedCall call)
     {
-        if (this->ended.contains(key)) {
+        if (this->released.contains(key)) {
             return;
         }
         const auto [id, added] = this->ids.try_emplace(key, this->nextId);
@@ -74,10 +78,10 @@
         this->queues[endpoint].adopt(call, this->fairness);
     }
 
-    /** The permit was used up or is not wanted any more. */
+    /** Releases a permit that was used or is no longer needed. */
     void release(const PermitKey &key)
     {
-        this->rememberEnded(key);
+        this->rememberReleased(key);
         const auto id = this->ids.find(key);
         if (id == this->ids.end()) {
             return;
@@ -88,7 +92,7 @@
         this->startNext(endpoint);
     }
 
-    /** Returns the permits of entries that have no lease any more. */
+    /** Releases the permits of entries that are not in @p leased. */
     void releaseUnleased(const std::set<EntryId> &leased)
     {
         std::vector<PermitKey> gone;
@@ -102,7 +106,8 @@
         }
     }
 
-    /** This entry is not the endpoint's dispatcher any more: its count is forgotten, as askers tell the next one. */
+    /** Removes all permits of an endpoint that this entry no longer dispatches. Requesters register them at the next
+     * dispatcher. */
     void drop(const EndpointId &endpoint)
     {
         std::vector<std::uint64_t> gone;
@@ -118,20 +123,20 @@
         this->queues.erase(endpoint);
     }
 
-    /** Permits that waited and may be used now; each is given out once. */
+    /** Returns the permits that waited and are now granted; each is returned once. */
     std::vector<PermitKey> takeGranted()
     {
         return std::exchange(this->granted, {});
     }
-    /** Permits that waited and were shed. */
+    /** Returns the permits that waited and were shed; each is returned once. */
     std::vector<PermitKey> takeShed()
     {
         return std::exchange(this->shed, {});
     }
 
-    void setMaxInFlight(const EndpointId &endpoint, std::size_t inFlight)
+    void setMaxInFlight(const EndpointId &endpoint, std::size_t maxInFlight)
     {
-        this->queues[endpoint].bounds.inFlight = inFlight;
+        this->queues[endpoint].limits.maxInFlight = maxInFlight;
     }
     [[nodiscard]] std::size_t load(const EndpointId &endpoint) const
     {
@@ -157,10 +162,10 @@
         return found;
     }
 
-    FairCounters fairness; ///< Over all endpoints of this dispatcher.
+    FairCounters fairness; ///< Shared by all endpoints of this dispatcher.
 
 private:
-    static constexpr std::size_t MaxEnded = 16384;
+    static constexpr std::size_t MaxReleased = 16384;
     using Queue = EndpointQueue<MostAttainedService>;
 
     void startNext(const EndpointId &endpoint)
@@ -169,15 +174,15 @@
             this->granted.push_back(this->keys.at(next->id).first);
         }
     }
-    void rememberEnded(const PermitKey &key)
+    void rememberReleased(const PermitKey &key)
     {
-        if (!this->ended.insert(key).second) {
+        if (!this->released.insert(key).second) {
             return;
         }
-        this->endedOrder.push_back(key);
-        if (this->endedOrder.size() > MaxEnded) {
-            this->ended.erase(this->endedOrder.front());
-            this->endedOrder.pop_front();
+        this->releasedOrder.push_back(key);
+        if (this->releasedOrder.size() > MaxReleased) {
+            this->released.erase(this->releasedOrder.front());
+            this->releasedOrder.pop_front();
         }
     }
     void forget(std::uint64_t id)
@@ -188,14 +193,14 @@
         this->keys.erase(row);
     }
 
-    std::map<EndpointId, Queue> queues; ///< Of this dispatcher's endpoints.
-    std::map<PermitKey, std::uint64_t> ids; ///< Id in the queues of each permit that waits or runs.
-    std::map<std::uint64_t, std::pair<PermitKey, EndpointId>> keys; ///< The reverse; same permits as `ids`.
-    std::set<PermitKey> ended; ///< Released lately, so that a message which was overtaken counts for nothing.
-    std::deque<PermitKey> endedOrder; ///< Same keys as `ended`, oldest first.
-    std::vector<PermitKey> granted; ///< Not told yet.
-    std::vector<PermitKey> shed; ///< Not told yet.
-    std::uint64_t nextId = 1; ///< Never reused.
+    std::map<EndpointId, Queue> queues; ///< Queues of this dispatcher's endpoints.
+    std::map<PermitKey, std::uint64_t> ids; ///< Id in its queue of each permit that waits or runs.
+    std::map<std::uint64_t, std::pair<PermitKey, EndpointId>> keys; ///< Reverse of `ids`, with the endpoint.
+    std::set<PermitKey> released; ///< Recently released permits; a message that arrives after the release is ignored.
+    std::deque<PermitKey> releasedOrder; ///< Same keys as `released`, oldest first.
+    std::vector<PermitKey> granted; ///< Grants that were not reported yet.
+    std::vector<PermitKey> shed; ///< Shed permits that were not reported yet.
+    std::uint64_t nextId = 1; ///< Next id in a queue; ids are never reused.
 };
 
 } // namespace Chestnuthook
--- a/src/policy/placement_func.h
+++ b/src/policy/placement_func.h
@@ -1,4 +1,4 @@
-/** @file placement_func.h  How many replicas each model should have, and which endpoint is to change next. */
+/** @file placement_func.h  Placement of models on engines: replicas of each model and the next engine to change. */
 #pragma once
 
 #include <algorithm>
@@ -13,73 +13,82 @@
 namespace Chestnuthook
 {
 
-/** A model's demand and declared bounds. */
+/** Demand for a model and its declared number of replicas. */
 struct ModelDemand
 {
-    double tokensPerSecond = 0; ///< Measured, smoothed.
-    std::uint32_t declaredReplicas = 0; ///< Exactly so many; 0 for as many as demand asks.
+    double tokensPerSecond = 0; ///< Measured demand, smoothed.
+    std::uint32_t declaredReplicas = 0; ///< Fixed number of replicas; 0 to scale by demand.
 };
 
 /** An engine that can load models. */
 struct PlacedEngine
 {
-    EndpointId endpoint; ///< The engine.
-    ModelId model; ///< What it serves.
+    EndpointId endpoint; ///< Endpoint of the engine.
+    ModelId model; ///< Model that it serves.
 };
 
-/** One change. */
+/** A change of the model of one engine. */
 struct PlacementChange
 {
-    EndpointId endpoint; ///< To whom.
-    ModelId model; ///< To load.
+    EndpointId endpoint; ///< Engine to change.
+    ModelId model; ///< Model to load.
 };
 
-/** Below this difference in engines nothing is moved, so that a demand near a boundary does not swap models. */
+/** Minimum deficit, in engines, before an engine is moved. Without it, demand near a boundary would swap models back
+ * and forth. */
 constexpr double PlacementHysteresis = 0.75;
 
-/** The next change, or none where the placement is right within the hysteresis. One change at a time, as the weight
- * store limits loads. Every model with demand or a declaration keeps at least one engine. */
+/** Returns the next change, or nothing if the placement is right within PlacementHysteresis. Changes are made one at a
+ * time, as the weight store limits the loading of models. Every model with demand or a declaration keeps at least one
+ * engine. */
 inline std::optional<PlacementChange> nextPlacement(
     const std::map<ModelId, ModelDemand> &models, const std::vector<PlacedEngine> &engines)
 {
-    double total = 0;
-    double free = static_cast<double>(engines.size());
+    double totalDemand = 0;
+    double freeEngines = static_cast<double>(engines.size());
     for (const auto &[id, demand] : models) {
         if (demand.declaredReplicas > 0) {
-            free -= demand.declaredReplicas;
+            freeEngines -= demand.declaredReplicas;
         } else {
-            total += demand.tokensPerSecond;
+            totalDemand += demand.tokensPerSecond;
         }
     }
     std::map<ModelId, double> wanted;
     std::map<ModelId, double> present;
     for (const auto &[id, demand] : models) {
-        const double share = total > 0 ? demand.tokensPerSecond / total : 1.0 / static_cast<double>(models.size());
-        wanted[id] = demand.declaredReplicas > 0 ? demand.declaredReplicas : std::max(1.0, free * share);
+        const double share =
+            totalDemand > 0 ? demand.tokensPerSecond / totalDemand : 1.0 / static_cast<double>(models.size());
+        wanted[id] = demand.declaredReplicas > 0 ? demand.declaredReplicas : std::max(1.0, freeEngines * share);
         present[id] = 0;
     }
     for (const PlacedEngine &engine : engines) {
         ++present[engine.model];
     }
-    const auto lack = [&](const ModelId &id) {
-        const auto want = wanted.find(id);
-        return (want == wanted.end() ? 0 : want->second) - present[id];
+    const auto deficit = [&](const ModelId &id) {
+        const auto wantedReplicas = wanted.find(id);
+        return (wantedReplicas == wanted.end() ? 0 : wantedReplicas->second) - present[id];
     };
-    std::optional<ModelId> poorest;
-    std::optional<ModelId> richest;
+    std::optional<ModelId> mostUndersupplied;
+    std::optional<ModelId> mostOversupplied;
     for (const auto &[id, count] : present) {
-        const bool maySpare = count > 1 || !models.contains(id);
-        poorest = models.contains(id) && (!poorest || lack(id) > lack(*poorest)) ? id : poorest;
-        richest = count > 0 && maySpare && (!richest || lack(id) < lack(*richest)) ? id : richest;
+        const bool canGiveUpEngine = count > 1 || !models.contains(id);
+        mostUndersupplied = models.contains(id) && (!mostUndersupplied || deficit(id) > deficit(*mostUndersupplied))
+            ? id
+            : mostUndersupplied;
+        mostOversupplied =
+            count > 0 && canGiveUpEngine && (!mostOversupplied || deficit(id) < deficit(*mostOversupplied))
+            ? id
+            : mostOversupplied;
     }
-    const bool worthIt = poorest && richest && *poorest != *richest
-        && (lack(*poorest) >= PlacementHysteresis || present[*poorest] == 0) && lack(*richest) < 0;
-    if (!worthIt) {
+    const bool isWorthwhile = mostUndersupplied && mostOversupplied && *mostUndersupplied != *mostOversupplied
+        && (deficit(*mostUndersupplied) >= PlacementHysteresis || present[*mostUndersupplied] == 0)
+        && deficit(*mostOversupplied) < 0;
+    if (!isWorthwhile) {
         return std::nullopt;
     }
     for (const PlacedEngine &engine : engines) {
-        if (engine.model == *richest) {
-            return PlacementChange{engine.endpoint, *poorest};
+        if (engine.model == *mostOversupplied) {
+            return PlacementChange{engine.endpoint, *mostUndersupplied};
         }
     }
     return std::nullopt;
--- a/src/policy/queue_order_func.h
+++ b/src/policy/queue_order_func.h
@@ -1,4 +1,4 @@
-/** @file queue_order_func.h  Orders in which waiting calls are served: rules behind one concept. */
+/** @file queue_order_func.h  Scheduling orders in which waiting calls are served. */
 #pragma once
 
 #include <concepts>
@@ -10,18 +10,18 @@
 namespace Chestnuthook
 {
 
-/** A call that waits for its turn at an endpoint. */
+/** A call in the queue of an endpoint. */
 struct QueuedCall
 {
-    std::uint64_t id = 0; ///< Of the asker; unique in its queue.
-    CustomerId customer; ///< For fairness.
-    double attainedTokens = 0; ///< Service that its program has had.
-    double expectedTokens = 0; ///< Prefill that is not cached, and decode.
-    Instant arrived; ///< When it came to the queue.
-    bool isolated = false; ///< Runs with nothing else in flight at the endpoint.
+    std::uint64_t id = 0; ///< Unique in its queue.
+    CustomerId customer; ///< Customer of the call, for fair queueing.
+    double attainedTokens = 0; ///< Service that its program has received.
+    double expectedTokens = 0; ///< Prefill of tokens that are not cached, and decode.
+    Instant arrived; ///< Time when it was queued.
+    bool isolated = false; ///< Runs only while no other call is in flight at the endpoint.
 };
 
-/** Gives each call a key that doesn't change while it waits; the least is served first. */
+/** An order gives each call a key that does not change while it waits. The call with the lowest key is served first. */
 template<typename T>
 concept QueueOrder = requires(const T &order, const QueuedCall &call)
 {
@@ -39,7 +39,7 @@
     }
 };
 
-/** The call with the least work first, whatever its program has had. */
+/** The call with the least expected work first, whatever service its program has received. */
 struct ShortestFirst
 {
     [[nodiscard]] double key(const QueuedCall &call) const
@@ -48,11 +48,12 @@
     }
 };
 
-/** The program with the least service first. A call ages: each second of waiting counts as AgeingTokensPerSecond less
- * service, so a long program is overtaken for a bounded time only. As all keys fall alike, they need no updates. */
+/** The program with the least attained service first. Calls age: each second of waiting counts as ageingTokensPerSecond
+ * less service, so a long program can be overtaken for a bounded time only. All calls age at the same rate, so keys
+ * need no updates. */
 struct LeastAttainedService
 {
-    double ageingTokensPerSecond = 200; ///< Zero for no ageing.
+    double ageingTokensPerSecond = 200; ///< Tokens per second of waiting; 0 turns ageing off.
 
     [[nodiscard]] double key(const QueuedCall &call) const
     {
@@ -60,11 +61,11 @@
     }
 };
 
-/** The program with the most service first, so that what was begun is finished, ends its memory and wastes no cache.
- * A call ages: each second of waiting counts as AgeingTokensPerSecond more service. */
+/** The program with the most attained service first. Programs that have started are finished, so that their cache is
+ * used and then freed. Calls age: each second of waiting counts as ageingTokensPerSecond more service. */
 struct MostAttainedService
 {
-    double ageingTokensPerSecond = 50; ///< Zero for no ageing.
+    double ageingTokensPerSecond = 50; ///< Tokens per second of waiting; 0 turns ageing off.
 
     [[nodiscard]] double key(const QueuedCall &call) const
     {
--- a/src/policy/random_func.h
+++ b/src/policy/random_func.h
@@ -1,4 +1,4 @@
-/** @file random_func.h  A small seeded generator, so that decisions with chance in them can be repeated. */
+/** @file random_func.h  Seeded pseudo-random generator, so that randomised decisions are reproducible. */
 #pragma once
 
 #include <cstdint>
@@ -6,7 +6,7 @@
 namespace Chestnuthook
 {
 
-/** The next number of the SplitMix64 sequence; @p state is its whole state. */
+/** Returns the next number of the SplitMix64 sequence; @p state is the whole state of the generator. */
 inline std::uint64_t nextRandom(std::uint64_t &state)
 {
     state += 0x9e3779b97f4a7c15ULL;
@@ -16,7 +16,7 @@
     return mixed ^ (mixed >> 31);
 }
 
-/** Evenly spread over [0, 1). */
+/** Returns a number that is uniformly distributed over [0, 1). */
 inline double nextUniform(std::uint64_t &state)
 {
     constexpr double Scale = 1.0 / static_cast<double>(1ULL << 53);
--- a/src/policy/retention_func.h
+++ b/src/policy/retention_func.h
@@ -1,4 +1,4 @@
-/** @file retention_func.h  What becomes of a program's cache while it waits for a tool: rules behind one concept. */
+/** @file retention_func.h  Rules that decide what happens to a program's cache while the program waits for a tool. */
 #pragma once
 
 #include <algorithm>
@@ -8,40 +8,42 @@
 namespace Chestnuthook
 {
 
+/** Hold keeps the cache at the endpoint, Export moves it out of the engine until the program continues, and Drop
+ * frees it. */
 enum class Retention : std::uint8_t { Hold, Export, Drop };
 
-/** The pauses of one service as measured; older ones count less. */
+/** Exponentially decaying average of the measured pauses of one service. */
 class PauseStatistics
 {
 public:
     void record(double seconds)
     {
-        this->weight = this->weight * Fading + 1;
-        this->sum = this->sum * Fading + seconds;
+        this->weight = this->weight * DecayFactor + 1;
+        this->sum = this->sum * DecayFactor + seconds;
     }
-    /** Expected pause in seconds; a prior of PriorSeconds stands for PriorWeight measurements. */
+    /** Expected pause in seconds. A prior of PriorSeconds counts as PriorWeight measurements. */
     [[nodiscard]] double expectedSeconds() const
     {
         return (this->sum + PriorSeconds * PriorWeight) / (this->weight + PriorWeight);
     }
 
 private:
-    static constexpr double Fading = 0.98;
+    static constexpr double DecayFactor = 0.98;
     static constexpr double PriorSeconds = 2;
     static constexpr double PriorWeight = 2;
-    double weight = 0; ///< Measurements, faded.
-    double sum = 0; ///< Of their seconds, faded.
+    double weight = 0; ///< Decayed number of measurements.
+    double sum = 0; ///< Decayed sum of the measured seconds.
 };
 
-/** A pause that begins. */
+/** Estimates for a pause that begins. */
 struct PauseEstimate
 {
-    double expectedSeconds = 0; ///< Until the program comes back.
-    double tokens = 0; ///< In the cache.
-    double turnoverSeconds = 0; ///< In which the endpoint's cache is replaced once: its size over its evictions.
-    double recomputeSeconds = 0; ///< To compute the tokens anew, for each call of the batch, which all wait for it.
-    double transferSeconds = 0; ///< To export and import them; only this program waits for it.
-    bool canExport = false; ///< Whether the endpoint can.
+    double expectedSeconds = 0; ///< Expected time until the program continues.
+    double tokens = 0; ///< Tokens of the program in the cache.
+    double turnoverSeconds = 0; ///< Time until evictions have replaced the endpoint's cache once.
+    double recomputeSeconds = 0; ///< Time to recompute the tokens times the calls of the batch, which it delays.
+    double transferSeconds = 0; ///< Time to export and import the tokens; delays only this program.
+    bool canExport = false; ///< Whether the endpoint supports export.
 };
 
 template<typename T>
@@ -68,8 +70,9 @@
     }
 };
 
-/** Least expected cost. Memory held for a whole turnover costs the recomputing of as much cache of others, so holding
- * costs recomputeSeconds * expected / turnover; dropping costs recomputeSeconds, exporting transferSeconds. */
+/** The decision with the least expected cost. Holding memory for a whole turnover evicts as much cache of other
+ * programs, which has to be recomputed, so holding costs recomputeSeconds * expectedSeconds / turnoverSeconds. Dropping
+ * costs recomputeSeconds and exporting transferSeconds. */
 struct LeastCost
 {
     [[nodiscard]] Retention decide(const PauseEstimate &pause) const
--- a/src/policy/retry_budget_base.h
+++ b/src/policy/retry_budget_base.h
@@ -1,7 +1,7 @@
-/** @file retry_budget_base.h  Bounds retries to a fraction of first attempts, and spreads them in time.
+/** @file retry_budget_base.h  Limits retries to a fraction of first attempts, and spreads them over time.
  *
- * Each entry bounds its own retries by its own first attempts, so the fleet's retries are bounded by the same fraction
- * of the fleet's first attempts without any message between entries. */
+ * Each entry limits its own retries by its own first attempts. This limits the retries of the whole fleet to the same
+ * fraction of its first attempts without messages between entries. */
 #pragma once
 
 #include <algorithm>
@@ -19,30 +19,30 @@
 public:
     /** Retries earned by each first attempt. */
     static constexpr double RetryRatio = 0.1;
-    /** Retries that an idle entry may make, and the most that it saves up. */
+    /** Maximum number of retries that an entry saves up; also its initial number. */
     static constexpr double RetryReserve = 10;
 
-    /** An attempt was given an endpoint. */
+    /** Registers an attempt that was dispatched to an endpoint. */
     void onAttempt()
     {
-        this->left = std::min(RetryReserve, this->left + RetryRatio);
+        this->available = std::min(RetryReserve, this->available + RetryRatio);
     }
 
-    /** Takes one retry. @return false where none is left. */
+    /** Takes one retry from the budget. @return false if the budget is exhausted. */
     bool take()
     {
-        if (this->left < 1) {
+        if (this->available < 1) {
             return false;
         }
-        this->left -= 1 + RetryRatio; // The retry is an attempt too, and is not to earn a part of the next one.
+        this->available -= 1 + RetryRatio; // The retry is registered as an attempt too, which must not earn budget.
         return true;
     }
 
 private:
-    double left = RetryReserve; ///< Retries that may be made now.
+    double available = RetryReserve; ///< Retries that are available now.
 };
 
-/** Delay before retry number @p retry (from 1): evenly spread up to a bound that doubles each time. */
+/** Delay before retry number @p retry (from 1): uniformly distributed up to a bound that doubles with each retry. */
 inline Duration jitteredRetryDelay(unsigned retry, std::uint64_t &random)
 {
     constexpr std::int64_t BaseUs = 50'000;
--- a/tests/unit/policy_queue_test.cpp
+++ b/tests/unit/policy_queue_test.cpp
@@ -1,4 +1,4 @@
-/** @file policy_queue_test.cpp  Order, fairness, shedding, isolation and exact counts of endpoints' queues. */
+/** @file policy_queue_test.cpp  Order, fairness, load shedding, isolation and exact counting of endpoints' queues. */
 #define BOOST_TEST_MODULE policy_queue
 #include <boost/test/unit_test.hpp>
 
@@ -29,35 +29,35 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(the_program_with_the_most_service_goes_first_but_a_long_wait_overtakes)
+BOOST_AUTO_TEST_CASE(most_attained_service_first_until_ageing_outweighs_it)
 {
-    PermitTable ledger;
-    ledger.setMaxInFlight(Engine, 1);
-    BOOST_TEST((ledger.ask(Engine, keyOf(1), callOf("a", 0, 0)) == PermitState::Running));
-    BOOST_TEST((ledger.ask(Engine, keyOf(2), callOf("a", 100, 0)) == PermitState::Waiting));
-    ledger.ask(Engine, keyOf(3), callOf("a", 5000, 1000));
-    ledger.ask(Engine, keyOf(4), callOf("a", 9000, 200'000)); // 200 s later: ageing outweighs 9000 tokens.
+    PermitTable permits;
+    permits.setMaxInFlight(Engine, 1);
+    BOOST_TEST((permits.ask(Engine, keyOf(1), callOf("a", 0, 0)) == PermitState::Running));
+    BOOST_TEST((permits.ask(Engine, keyOf(2), callOf("a", 100, 0)) == PermitState::Waiting));
+    permits.ask(Engine, keyOf(3), callOf("a", 5000, 1000));
+    permits.ask(Engine, keyOf(4), callOf("a", 9000, 200'000)); // Queued 200 s later: ageing outweighs 9000 tokens.
     std::vector<std::uint64_t> order;
     for (std::uint64_t running = 1; order.size() < 3;) {
-        ledger.release(keyOf(running));
-        const auto granted = ledger.takeGranted();
+        permits.release(keyOf(running));
+        const auto granted = permits.takeGranted();
         BOOST_REQUIRE(granted.size() == 1U);
         order.push_back(running = granted[0].permit);
     }
     BOOST_TEST((order == std::vector<std::uint64_t>{3, 2, 4}));
 }
 
-BOOST_AUTO_TEST_CASE(tenants_are_served_by_weight_and_idle_time_earns_nothing)
+BOOST_AUTO_TEST_CASE(customers_are_served_by_weight_without_credit_for_idle_time)
 {
-    PermitTable ledger;
-    ledger.setMaxInFlight(Engine, 1);
-    ledger.fairness.setWeight(CustomerId{"big"}, 3);
-    ledger.fairness.setWeight(CustomerId{"small"}, 1);
+    PermitTable permits;
+    permits.setMaxInFlight(Engine, 1);
+    permits.fairness.setWeight(CustomerId{"big"}, 3);
+    permits.fairness.setWeight(CustomerId{"small"}, 1);
     std::uint64_t next = 1;
     std::map<std::uint64_t, std::string> customerOf;
     const auto add = [&](const char *customer) {
         customerOf[next] = customer;
-        ledger.ask(Engine, keyOf(next), callOf(customer, 0, static_cast<std::int64_t>(next)));
+        permits.ask(Engine, keyOf(next), callOf(customer, 0, static_cast<std::int64_t>(next)));
         ++next;
     };
     for (int i = 0; i < 200; ++i) {
@@ -67,26 +67,26 @@
     std::map<std::string, int> served;
     std::uint64_t running = 1;
     for (int i = 0; i < 100; ++i) {
-        ledger.release(keyOf(running));
-        running = ledger.takeGranted().at(0).permit;
+        permits.release(keyOf(running));
+        running = permits.takeGranted().at(0).permit;
         ++served[customerOf[running]];
     }
     BOOST_TEST(std::abs(served["big"] - 75) <= 1);
-    add("late"); // Was idle all the time; gets its turn soon, but no more than its share.
+    add("late"); // Was idle until now; is served soon, but gets no more than its share.
     served.clear();
     for (int i = 0; i < 5; ++i) {
         add("late");
     }
     for (int i = 0; i < 10; ++i) {
-        ledger.release(keyOf(running));
-        running = ledger.takeGranted().at(0).permit;
+        permits.release(keyOf(running));
+        running = permits.takeGranted().at(0).permit;
         ++served[customerOf[running]];
     }
     BOOST_TEST(served["late"] >= 1);
     BOOST_TEST(served["late"] <= 3);
 }
 
-BOOST_AUTO_TEST_CASE(overload_sheds_the_newest_call_of_the_tenant_above_its_share)
+BOOST_AUTO_TEST_CASE(overload_sheds_newest_call_of_customer_above_its_share)
 {
     EndpointQueue<MostAttainedService> queue(EndpointLimits{1, 4, true});
     FairCounters fairness;
@@ -106,47 +106,47 @@
 
 BOOST_AUTO_TEST_CASE(an_isolated_call_runs_alone)
 {
-    PermitTable ledger;
-    ledger.setMaxInFlight(Engine, 8);
-    ledger.ask(Engine, keyOf(1), callOf("a", 0, 0));
+    PermitTable permits;
+    permits.setMaxInFlight(Engine, 8);
+    permits.ask(Engine, keyOf(1), callOf("a", 0, 0));
     QueuedCall suspect = callOf("a", 0, 1);
     suspect.isolated = true;
-    BOOST_TEST((ledger.ask(Engine, keyOf(2), suspect) == PermitState::Waiting));
-    BOOST_TEST((ledger.ask(Engine, keyOf(3), callOf("a", 0, 2)) == PermitState::Waiting));
-    ledger.release(keyOf(1));
-    BOOST_TEST((ledger.takeGranted() == std::vector<PermitKey>{keyOf(2)}));
-    BOOST_TEST(ledger.inFlight(Engine) == 1U);
-    ledger.release(keyOf(2));
-    BOOST_TEST((ledger.takeGranted() == std::vector<PermitKey>{keyOf(3)}));
+    BOOST_TEST((permits.ask(Engine, keyOf(2), suspect) == PermitState::Waiting));
+    BOOST_TEST((permits.ask(Engine, keyOf(3), callOf("a", 0, 2)) == PermitState::Waiting));
+    permits.release(keyOf(1));
+    BOOST_TEST((permits.takeGranted() == std::vector<PermitKey>{keyOf(2)}));
+    BOOST_TEST(permits.inFlight(Engine) == 1U);
+    permits.release(keyOf(2));
+    BOOST_TEST((permits.takeGranted() == std::vector<PermitKey>{keyOf(3)}));
 }
 
-BOOST_AUTO_TEST_CASE(a_permit_counts_once_whatever_is_resent_lost_or_overtaken)
+BOOST_AUTO_TEST_CASE(permit_counts_once_with_resent_and_reordered_messages)
 {
-    PermitTable ledger;
-    ledger.setMaxInFlight(Engine, 2);
+    PermitTable permits;
+    permits.setMaxInFlight(Engine, 2);
     for (int resend = 0; resend < 3; ++resend) {
-        BOOST_TEST((ledger.ask(Engine, keyOf(1), callOf("a", 0, 0)) == PermitState::Running));
+        BOOST_TEST((permits.ask(Engine, keyOf(1), callOf("a", 0, 0)) == PermitState::Running));
     }
-    BOOST_TEST(ledger.inFlight(Engine) == 1U);
-    ledger.release(keyOf(1));
-    ledger.release(keyOf(1));
-    BOOST_TEST((ledger.ask(Engine, keyOf(1), callOf("a", 0, 0)) == PermitState::Waiting));
-    BOOST_TEST(ledger.load(Engine) == 0U);
-    ledger.release(keyOf(9)); // Overtook its own request.
-    ledger.ask(Engine, keyOf(9), callOf("a", 0, 0));
-    BOOST_TEST(ledger.load(Engine) == 0U);
+    BOOST_TEST(permits.inFlight(Engine) == 1U);
+    permits.release(keyOf(1));
+    permits.release(keyOf(1));
+    BOOST_TEST((permits.ask(Engine, keyOf(1), callOf("a", 0, 0)) == PermitState::Waiting));
+    BOOST_TEST(permits.load(Engine) == 0U);
+    permits.release(keyOf(9)); // Overtakes the request for the same permit.
+    permits.ask(Engine, keyOf(9), callOf("a", 0, 0));
+    BOOST_TEST(permits.load(Engine) == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(permits_of_an_entry_whose_lease_ended_return_and_running_ones_are_told_to_a_new_dispatcher)
+BOOST_AUTO_TEST_CASE(permits_return_after_lease_end_and_move_to_new_dispatcher)
 {
-    PermitTable ledger;
-    ledger.setMaxInFlight(Engine, 2);
-    ledger.ask(Engine, keyOf(1, "dead"), callOf("a", 0, 0));
-    ledger.ask(Engine, keyOf(2, "dead"), callOf("a", 0, 0));
-    ledger.ask(Engine, keyOf(3), callOf("a", 0, 0));
-    ledger.releaseUnleased({EntryId{"entry-1"}});
-    BOOST_TEST((ledger.takeGranted() == std::vector<PermitKey>{keyOf(3)}));
-    BOOST_TEST(ledger.inFlight(Engine) == 1U);
+    PermitTable permits;
+    permits.setMaxInFlight(Engine, 2);
+    permits.ask(Engine, keyOf(1, "dead"), callOf("a", 0, 0));
+    permits.ask(Engine, keyOf(2, "dead"), callOf("a", 0, 0));
+    permits.ask(Engine, keyOf(3), callOf("a", 0, 0));
+    permits.releaseUnleased({EntryId{"entry-1"}});
+    BOOST_TEST((permits.takeGranted() == std::vector<PermitKey>{keyOf(3)}));
+    BOOST_TEST(permits.inFlight(Engine) == 1U);
     PermitTable next;
     next.setMaxInFlight(Engine, 1);
     next.adopt(Engine, keyOf(3), callOf("a", 0, 0));
@@ -155,30 +155,30 @@
     BOOST_TEST((next.ask(Engine, keyOf(4), callOf("a", 0, 0)) == PermitState::Waiting));
 }
 
-BOOST_AUTO_TEST_CASE(random_messages_never_break_the_bound_or_the_count)
+BOOST_AUTO_TEST_CASE(random_messages_keep_limit_and_count)
 {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         std::uint64_t random = seed;
-        PermitTable ledger;
-        ledger.setMaxInFlight(Engine, 4);
+        PermitTable permits;
+        permits.setMaxInFlight(Engine, 4);
         std::set<PermitKey> running;
         for (int i = 0; i < 3000; ++i) {
             const PermitKey key = keyOf(nextRandom(random) % 400, nextRandom(random) % 2 == 0 ? "x" : "y");
             if (nextRandom(random) % 2 == 0) {
                 QueuedCall call = callOf(nextRandom(random) % 3 == 0 ? "a" : "b", 0, i);
                 call.isolated = nextRandom(random) % 10 == 0;
-                if (ledger.ask(Engine, key, call) == PermitState::Running) {
+                if (permits.ask(Engine, key, call) == PermitState::Running) {
                     running.insert(key);
                 }
             } else {
-                ledger.release(key);
+                permits.release(key);
                 running.erase(key);
             }
-            for (const PermitKey &granted : ledger.takeGranted()) {
+            for (const PermitKey &granted : permits.takeGranted()) {
                 BOOST_TEST(running.insert(granted).second);
             }
             BOOST_TEST(running.size() <= 4U);
-            BOOST_TEST(running.size() == ledger.inFlight(Engine));
+            BOOST_TEST(running.size() == permits.inFlight(Engine));
         }
     }
 }
--- a/tests/unit/policy_retry_test.cpp
+++ b/tests/unit/policy_retry_test.cpp
@@ -1,4 +1,4 @@
-/** @file policy_retry_test.cpp  The retry budget under a loss of endpoints, and the spread of retries. */
+/** @file policy_retry_test.cpp  Retry budget after a loss of endpoints, and distribution of retry delays. */
 #define BOOST_TEST_MODULE policy_retry
 #include <boost/test/unit_test.hpp>
 
@@ -8,7 +8,7 @@
 
 using namespace Chestnuthook;
 
-BOOST_AUTO_TEST_CASE(retries_stay_under_their_fraction_when_a_third_of_the_endpoints_die)
+BOOST_AUTO_TEST_CASE(retries_stay_within_budget_when_a_third_of_endpoints_fail)
 {
     constexpr int Entries = 6;
     constexpr int CallsPerEntry = 2000;
