--- a/bench/capacity_bench.cpp
+++ b/bench/capacity_bench.cpp
@@ -1,6 +1,6 @@
-/** @file capacity_bench.cpp  Slopes for docs/CAPACITY.md, measured with the code that runs: the fleet state, the
- * journal, RPC between two ends, and an idle and a busy entry as real processes. `scripts/capacity --measure` records
- * them. */
+/** @file capacity_bench.cpp  Slopes (costs per unit) for docs/CAPACITY.md, measured with production code: the fleet
+ * state, the journal, RPC between two ends, and an idle and a busy entry as real processes. `scripts/capacity
+ * --measure` records them. */
 #include <chrono>
 #include <cstring>
 #include <map>
@@ -40,16 +40,16 @@
 constexpr int TargetEntries = 350;
 constexpr const char *CustomerJson = R"({"rate":5,"burst":15,"weight":1})";
 
-/** How much of each measurement is done; the short form is for CI, which judges no time. */
-struct Extent
+/** Size of the measurements. CI runs a small one and checks no times. */
+struct BenchScale
 {
-    int customers = TargetCustomers; ///< Customers and keys of the fleet state.
-    int entries = TargetEntries; ///< Leases of the fleet state.
-    int repeats = 200; ///< Runs of a cheap operation.
-    int calls = 300; ///< Calls to the real entry.
-    int connections = 200; ///< Open connections to the real entry.
-    std::chrono::seconds idle{10}; ///< How long the idle fleet is watched.
-    bool judged = true; ///< Whether budgets are held against what was measured.
+    int customers = TargetCustomers; ///< Number of customers and of keys in the fleet state.
+    int entries = TargetEntries; ///< Number of leases in the fleet state.
+    int repeats = 200; ///< Repetitions of a cheap operation.
+    int calls = 300; ///< Calls to the entry process.
+    int connections = 200; ///< Open connections to the entry process.
+    std::chrono::seconds idle{10}; ///< Time for which the idle fleet is measured.
+    bool judged = true; ///< Whether results are checked against budgets.
 };
 
 template<typename Fill>
@@ -96,76 +96,76 @@
     });
 }
 
-double deltaBytes(const FleetState &state, std::uint64_t have)
+double deltaBytes(const FleetState &state, std::uint64_t sinceIndex)
 {
     capnp::MallocMessageBuilder message;
-    state.writeDelta(have, message.initRoot<Wire::FleetDelta>());
+    state.writeDelta(sinceIndex, message.initRoot<Wire::FleetDelta>());
     return static_cast<double>(capnp::computeSerializedSizeInWords(message)) * sizeof(capnp::word);
 }
 
-void measureDeltas(const Extent &extent, FleetState &state, std::uint64_t index)
+void measureDeltas(const BenchScale &scale, FleetState &state, std::uint64_t index)
 {
-    printSlope("delta_empty_us", processorUsOf(extent.repeats, [&](int) {
+    printSlope("delta_empty_us", processorUsOf(scale.repeats, [&](int) {
         deltaBytes(state, index);
     }));
     printSlope("delta_empty_bytes", deltaBytes(state, index));
     state.apply(index + 1, applyCommand(state.revision().value, 0, 1));
-    printSlope("delta_one_us", processorUsOf(extent.repeats, [&](int) {
+    printSlope("delta_one_us", processorUsOf(scale.repeats, [&](int) {
         deltaBytes(state, index);
     }));
     printSlope("delta_one_bytes", deltaBytes(state, index));
-    printSlope("change_apply_us", processorUsOf(extent.repeats, [&](int i) {
+    printSlope("change_apply_us", processorUsOf(scale.repeats, [&](int i) {
         state.apply(index + 2 + static_cast<std::uint64_t>(i), applyCommand(state.revision().value, i, 1));
     }));
     const std::shared_ptr<const FleetView> view = makeView(state);
     std::shared_ptr<const FleetView> changed;
-    printSlope("view_change_us", processorUsOf(extent.repeats / 4, [&](int) {
+    printSlope("view_change_us", processorUsOf(scale.repeats / 4, [&](int) {
         changed = updateView(*view, state, state.index() - 1);
     }));
     printSlope("change_command_bytes", static_cast<double>(applyCommand(1, 0, 1).size()));
 }
 
-void measureFleetState(const Extent &extent)
+void measureFleetState(const BenchScale &scale)
 {
     FleetState state;
     std::uint64_t index = 0;
     double before = heapBytes();
-    state.apply(++index, applyCommand(0, 0, extent.customers));
-    printSlope("tenant_state_bytes", (heapBytes() - before) / extent.customers);
+    state.apply(++index, applyCommand(0, 0, scale.customers));
+    printSlope("tenant_state_bytes", (heapBytes() - before) / scale.customers);
     before = heapBytes();
-    for (int i = 0; i < extent.customers; ++i) {
+    for (int i = 0; i < scale.customers; ++i) {
         state.apply(++index, keyCommand(i));
     }
-    printSlope("key_state_bytes", (heapBytes() - before) / extent.customers);
+    printSlope("key_state_bytes", (heapBytes() - before) / scale.customers);
     state.apply(++index, leaseCommand(0));
     before = heapBytes();
-    for (int i = 1; i < extent.entries; ++i) {
+    for (int i = 1; i < scale.entries; ++i) {
         state.apply(++index, leaseCommand(i));
     }
-    printSlope("entry_state_bytes", (heapBytes() - before) / extent.entries);
+    printSlope("entry_state_bytes", (heapBytes() - before) / scale.entries);
     printSlope("lease_grant_us", processorUsOf(10, [&](int i) {
-        state.apply(++index, leaseCommand(extent.entries + i));
+        state.apply(++index, leaseCommand(scale.entries + i));
     }));
     before = heapBytes();
     std::shared_ptr<const FleetView> view = makeView(state);
-    printSlope("view_tenant_bytes", (heapBytes() - before) / extent.customers);
+    printSlope("view_tenant_bytes", (heapBytes() - before) / scale.customers);
     printSlope("view_make_us_per_tenant", processorUsOf(5, [&](int) {
         view = makeView(state);
-    }) / extent.customers);
+    }) / scale.customers);
     view.reset();
     std::string snapshot;
     printSlope("snapshot_us_per_tenant", processorUsOf(5, [&](int) {
         snapshot = state.snapshot();
-    }) / extent.customers);
-    printSlope("snapshot_tenant_bytes", static_cast<double>(snapshot.size()) / extent.customers);
+    }) / scale.customers);
+    printSlope("snapshot_tenant_bytes", static_cast<double>(snapshot.size()) / scale.customers);
     printSlope("restore_us_per_tenant", processorUsOf(3, [&](int) {
         FleetState copy;
         copy.restore(snapshot);
-    }) / extent.customers);
-    measureDeltas(extent, state, index);
+    }) / scale.customers);
+    measureDeltas(scale, state, index);
 }
 
-/** The journal command that ends call @p number of the bench's program. */
+/** Journal command that ends call @p number of @p program. */
 std::string endCommand(const std::string &program, unsigned number, std::size_t requestBytes, std::size_t answerBytes)
 {
     capnp::MallocMessageBuilder message;
@@ -211,10 +211,10 @@
     return flatBytes(message);
 }
 
-/** Programs without calls. */
-void measurePrograms(const Extent &extent)
+/** Measures programs without calls. */
+void measurePrograms(const BenchScale &scale)
 {
-    const int count = extent.customers;
+    const int count = scale.customers;
     JournalState journal;
     const double before = heapBytes();
     for (int i = 0; i < count; ++i) {
@@ -225,7 +225,7 @@
     printSlope("program_state_bytes", (heapBytes() - before) / count);
 }
 
-void measureJournal(const Extent &extent)
+void measureJournal(const BenchScale &scale)
 {
     constexpr std::size_t LargeText = 64UL * 1024;
     const std::string program = "p-0123456789abcdef0123";
@@ -235,15 +235,15 @@
     std::uint64_t index = 2;
     unsigned number = 0;
     double before = heapBytes();
-    printSlope("journal_apply_us", processorUsOf(extent.repeats, [&](int) {
+    printSlope("journal_apply_us", processorUsOf(scale.repeats, [&](int) {
         journal.apply(++index, endCommand(program, ++number, 0, 0));
     }));
-    printSlope("call_state_bytes", (heapBytes() - before) / extent.repeats);
+    printSlope("call_state_bytes", (heapBytes() - before) / scale.repeats);
     before = heapBytes();
-    for (int i = 0; i < extent.repeats; ++i) {
+    for (int i = 0; i < scale.repeats; ++i) {
         journal.apply(++index, endCommand(program, ++number, LargeText, LargeText));
     }
-    const double perCall = (heapBytes() - before) / extent.repeats;
+    const double perCall = (heapBytes() - before) / scale.repeats;
     printSlope("history_state_bytes_per_byte", perCall / (2.0 * LargeText));
     printSlope("journal_write_bytes", static_cast<double>(endCommand(program, 1, 0, 0).size()));
     printSlope("journal_write_bytes_per_byte",
@@ -256,16 +256,16 @@
     const std::string record = endCommand(program, 1, 400, 1600);
     const auto started = std::chrono::steady_clock::now();
     std::uint64_t written = 0;
-    printSlope("log_append_us", processorUsOf(extent.repeats, [&](int) {
+    printSlope("log_append_us", processorUsOf(scale.repeats, [&](int) {
         RaftActions actions;
         actions.append.push_back(RaftEntry{1, ++written, RaftEntryKind::Command, record});
         static_cast<void>(log.write({std::move(actions)}));
     }));
     const std::chrono::duration<double, std::micro> wall = std::chrono::steady_clock::now() - started;
-    printSlope("log_sync_wall_us", wall.count() / extent.repeats);
+    printSlope("log_sync_wall_us", wall.count() / scale.repeats);
 }
 
-/** Answers admission questions from buckets, as the owner of the customers' slots does. */
+/** Answers admission requests from token buckets, as the owner of the customers' slots does. */
 class BucketPeer final : public Wire::EntryPeer::Server
 {
 public:
@@ -282,11 +282,11 @@
     }
 
 private:
-    Instant now; ///< A clock of its own.
-    std::map<std::string, TokenBucket> buckets; ///< By customer.
+    Instant now; ///< Virtual time; advances with each request.
+    std::map<std::string, TokenBucket> buckets; ///< Token buckets by customer.
 };
 
-/** Processor time of both ends for one call that asks for @p batch admissions. */
+/** Processor time of both ends in microseconds for one call that requests @p batch admissions. */
 double admitUs(ControlLoop &loop, Wire::EntryPeer::Client &peer, unsigned batch, int calls)
 {
     return processorUsOf(calls, [&](int) {
@@ -300,33 +300,33 @@
     });
 }
 
-/** Measures connections and admission questions between two ends; @p mark stands behind the slopes' names. */
-void measureRpc(const Extent &extent, const std::string &mark)
+/** Measures connections and admission requests between two ends. @p suffix is appended to the names of the slopes. */
+void measureRpc(const BenchScale &scale, const std::string &suffix)
 {
     ControlLoop loop("a secret of this bench", "bench");
     const std::string address = Testing::freeAddresses(1)[0];
     OfferedServices offered{nullptr, kj::heap<BucketPeer>()};
     loop.detach(serveRpc(loop.rpc(), address, kj::mv(offered)));
     RpcLink link(loop.rpc(), address);
-    const double connectUs = processorUsOf(extent.repeats / 4, [&](int) {
+    const double connectUs = processorUsOf(scale.repeats / 4, [&](int) {
         link.reset();
         loop.wait(link.services().ignoreResult());
     });
-    printSlope("rpc_connect_us_both_ends" + mark, connectUs);
+    printSlope("rpc_connect_us_both_ends" + suffix, connectUs);
     auto peer = loop.wait(link.services()).peer.castAs<Wire::EntryPeer>();
-    admitUs(loop, peer, 1, extent.repeats);
+    admitUs(loop, peer, 1, scale.repeats);
     for (const unsigned batch : {1U, 4U, 16U, 64U}) {
         const double bytes = readAndWrittenBytes(::getpid());
-        const std::string name = std::to_string(batch) + mark;
-        printSlope("admit_us_both_ends_batch_" + name, admitUs(loop, peer, batch, extent.repeats * 5));
+        const std::string name = std::to_string(batch) + suffix;
+        printSlope("admit_us_both_ends_batch_" + name, admitUs(loop, peer, batch, scale.repeats * 5));
         // Each byte is written at one end and read at the other.
         printSlope(
-            "admit_wire_bytes_batch_" + name, (readAndWrittenBytes(::getpid()) - bytes) / 2 / (extent.repeats * 5));
+            "admit_wire_bytes_batch_" + name, (readAndWrittenBytes(::getpid()) - bytes) / 2 / (scale.repeats * 5));
     }
 }
 
-/** The same under TLS, as processes with fleet_certificate talk. */
-void measureEncryptedRpc(const Extent &extent)
+/** As measureRpc(), with TLS, which processes use if fleet_certificate is set. */
+void measureEncryptedRpc(const BenchScale &scale)
 {
     const Testing::TemporaryFolder folder;
     Testing::writeCertificate(folder.path + "/authority", "authority of the bench");
@@ -334,42 +334,42 @@
     gflags::SetCommandLineOption("fleet_certificate", (folder.path + "/member.crt").c_str());
     gflags::SetCommandLineOption("fleet_key", (folder.path + "/member.key").c_str());
     gflags::SetCommandLineOption("fleet_trust", (folder.path + "/authority.crt").c_str());
-    measureRpc(extent, "_tls");
+    measureRpc(scale, "_tls");
 }
 
 const char *const ModelCall = R"({"kind":"model","model":"verse","messages":[{"role":"user","content":"a verse"}]})";
 
-void measureIdle(const Extent &extent, const Testing::ProcessFleet &fleet)
+void measureIdle(const BenchScale &scale, const Testing::ProcessFleet &fleet)
 {
-    const double seconds = static_cast<double>(extent.idle.count());
+    const double seconds = static_cast<double>(scale.idle.count());
     const pid_t entry = fleet.processes.at("entry-0")->pid;
     const pid_t control = fleet.processes.at("control-0")->pid;
     std::this_thread::sleep_for(std::chrono::seconds(1));
     const double entryUs = processorUsOf(entry);
     const double controlUs = processorUsOf(control);
     const double entryBytes = readAndWrittenBytes(entry);
-    std::this_thread::sleep_for(extent.idle);
-    printSlope("entry_idle_core_percent", (processorUsOf(entry) - entryUs) / seconds / 1e4, extent.judged ? 1.3 : 0);
+    std::this_thread::sleep_for(scale.idle);
+    printSlope("entry_idle_core_percent", (processorUsOf(entry) - entryUs) / seconds / 1e4, scale.judged ? 1.3 : 0);
     printSlope(
-        "entry_idle_bytes_per_s", (readAndWrittenBytes(entry) - entryBytes) / seconds, extent.judged ? 16.0 * 1024 : 0);
-    printSlope("entry_idle_resident_bytes", residentBytes(entry), extent.judged ? 32.0 * 1024 * 1024 : 0);
+        "entry_idle_bytes_per_s", (readAndWrittenBytes(entry) - entryBytes) / seconds, scale.judged ? 16.0 * 1024 : 0);
+    printSlope("entry_idle_resident_bytes", residentBytes(entry), scale.judged ? 32.0 * 1024 * 1024 : 0);
     printSlope("control_idle_core_percent_per_entry",
         (processorUsOf(control) - controlUs) / seconds / 1e4 / fleet.size.entries);
     printSlope("control_idle_resident_bytes", residentBytes(control));
 }
 
-void measureCalls(const Extent &extent, const Testing::ProcessFleet &fleet)
+void measureCalls(const BenchScale &scale, const Testing::ProcessFleet &fleet)
 {
     const pid_t entry = fleet.processes.at("entry-0")->pid;
     const pid_t control = fleet.processes.at("control-0")->pid;
     const double entryUs = processorUsOf(entry);
     const double controlUs = processorUsOf(control);
     int done = 0;
-    int asked = 0;
-    while (done < extent.calls && asked < extent.calls * 20) {
+    int sentCalls = 0;
+    while (done < scale.calls && sentCalls < scale.calls * 20) {
         const std::string calls = "/v1/programs/" + fleet.createProgram(0) + "/calls/";
         for (int number = 1; number <= 10;) {
-            ++asked;
+            ++sentCalls;
             const Testing::HttpAnswer answer = fleet.ask(0, "POST", calls + std::to_string(number), ModelCall);
             number += answer.status == 200 ? 1 : 0;
             done += answer.status == 200 ? 1 : 0;
@@ -380,16 +380,16 @@
     }
     printSlope("call_entry_us", (processorUsOf(entry) - entryUs) / done);
     printSlope("call_control_us", (processorUsOf(control) - controlUs) / done);
-    printSlope("call_requests_per_call", static_cast<double>(asked) / done);
+    printSlope("call_requests_per_call", static_cast<double>(sentCalls) / done);
 }
 
-/** Memory of an open connection, with the thread that POCO's server keeps for it. */
-void measureConnections(const Extent &extent, const Testing::ProcessFleet &fleet)
+/** Measures the memory of an open connection, including its thread in POCO's server. */
+void measureConnections(const BenchScale &scale, const Testing::ProcessFleet &fleet)
 {
     const pid_t entry = fleet.processes.at("entry-0")->pid;
     const double before = residentBytes(entry);
     std::vector<std::unique_ptr<Poco::Net::HTTPClientSession>> sessions;
-    for (int i = 0; i < extent.connections; ++i) {
+    for (int i = 0; i < scale.connections; ++i) {
         sessions.push_back(
             std::make_unique<Poco::Net::HTTPClientSession>(Poco::Net::SocketAddress(fleet.entryAddresses[0])));
         sessions.back()->setKeepAlive(true);
@@ -398,10 +398,10 @@
         Poco::Net::HTTPResponse response;
         sessions.back()->receiveResponse(response).ignore(1024);
     }
-    printSlope("connection_resident_bytes", (residentBytes(entry) - before) / extent.connections);
+    printSlope("connection_resident_bytes", (residentBytes(entry) - before) / scale.connections);
 }
 
-/** What one reading of the platform's list costs for each endpoint in it. */
+/** Measures the cost of fetching the platform's list, per endpoint in it. */
 void measureInstanceList()
 {
     constexpr int Endpoints = 1000;
@@ -423,24 +423,24 @@
     }) / Endpoints);
 }
 
-void measureProcesses(const Extent &extent)
+void measureProcesses(const BenchScale &scale)
 {
     measureInstanceList();
     Testing::FleetSize size;
     size.entries = 2;
     Testing::ProcessFleet fleet(size);
-    measureIdle(extent, fleet);
-    measureCalls(extent, fleet);
-    measureConnections(extent, fleet);
+    measureIdle(scale, fleet);
+    measureCalls(scale, fleet);
+    measureConnections(scale, fleet);
 }
 
 } // namespace
 
 int main(int argc, char **argv)
 {
-    Extent extent;
+    BenchScale scale;
     if (argc > 1 && std::strcmp(argv[1], "--smoke") == 0) {
-        extent = Extent{.customers = 500,
+        scale = BenchScale{.customers = 500,
             .entries = 20,
             .repeats = 20,
             .calls = 10,
@@ -448,11 +448,11 @@
             .idle = std::chrono::seconds(1),
             .judged = false};
     }
-    measureFleetState(extent);
-    measurePrograms(extent);
-    measureJournal(extent);
-    measureRpc(extent, "");
-    measureEncryptedRpc(extent);
-    measureProcesses(extent);
+    measureFleetState(scale);
+    measurePrograms(scale);
+    measureJournal(scale);
+    measureRpc(scale, "");
+    measureEncryptedRpc(scale);
+    measureProcesses(scale);
     return 0;
 }
--- a/bench/capacity_slope.h
+++ b/bench/capacity_slope.h
@@ -1,5 +1,5 @@
-/** @file capacity_slope.h  Measuring slopes for docs/CAPACITY.md: heap, processor time, and what /proc says of a
- * process. */
+/** @file capacity_slope.h  Measurement of slopes (costs per unit) for docs/CAPACITY.md: heap, processor time, and
+ * values of a process from /proc. */
 #pragma once
 
 #include <cstdint>
@@ -16,7 +16,7 @@
 namespace Chestnuthook::Capacity
 {
 
-/** Prints one slope; @p bound 0 means that no budget applies to it alone. */
+/** Prints one slope. @p bound is its maximum; 0 if it has no budget of its own. */
 inline void printSlope(const std::string &name, double value, double bound = 0)
 {
     std::ostringstream line;
@@ -26,7 +26,7 @@
     std::cout << line.str() << std::endl;
 }
 
-/** Bytes on the heap that are in use. */
+/** Bytes of the heap that are in use. */
 inline double heapBytes()
 {
     const auto info = ::mallinfo2();
@@ -41,7 +41,7 @@
     return static_cast<double>(time.tv_sec) * 1e6 + static_cast<double>(time.tv_nsec) / 1e3;
 }
 
-/** Processor time of one run of @p work in microseconds, over @p count runs. */
+/** Mean processor time of one run of @p work in microseconds, over @p count runs. */
 template<typename Work>
 double processorUsOf(int count, Work &&work)
 {
@@ -52,7 +52,7 @@
     return (processorUs() - before) / count;
 }
 
-/** Processor time of process @p pid in microseconds, from the scheduler's count of each of its threads. */
+/** Processor time of process @p pid in microseconds, as the scheduler counts it for each of its threads. */
 inline double processorUsOf(pid_t pid)
 {
     double nanoseconds = 0;
@@ -65,7 +65,7 @@
     return nanoseconds / 1e3;
 }
 
-/** The number behind @p field in a file of /proc, such as `VmRSS` (kB) or `rchar` (bytes). */
+/** Value of @p field in a file of /proc, such as `VmRSS` (kB) or `rchar` (bytes); 0 if there is no such field. */
 inline double procNumber(pid_t pid, const std::string &file, const std::string &field)
 {
     std::ifstream stream("/proc/" + std::to_string(pid) + "/" + file);
@@ -84,7 +84,7 @@
     return procNumber(pid, "status", "VmRSS") * 1024;
 }
 
-/** Bytes that process @p pid read and wrote by read and write calls: its RPC connections, files and logs. */
+/** Bytes that process @p pid transferred by read and write system calls: RPC connections, files and logs. */
 inline double readAndWrittenBytes(pid_t pid)
 {
     return procNumber(pid, "io", "rchar") + procNumber(pid, "io", "wchar");
--- a/bench/control_bench.cpp
+++ b/bench/control_bench.cpp
@@ -1,5 +1,5 @@
-/** @file control_bench.cpp  The replicated control state over real processes: commits, resumption, force, restart, and
- * slopes for docs/CAPACITY.md. With --smoke it is short, and no time is judged. */
+/** @file control_bench.cpp  Replicated control state with real processes: commits, failover, propagation of a withdrawn
+ * key, restart, and slopes for docs/CAPACITY.md. With --smoke the run is short and times are not checked. */
 #include <algorithm>
 #include <chrono>
 #include <csignal>
@@ -24,13 +24,13 @@
 
 using Clock = std::chrono::steady_clock;
 
-constexpr double ResumeBoundMs = 1500;
-constexpr double ForceBoundMs = 2000;
-constexpr double IsolatedForceBoundMs = 3000;
-constexpr double RestartBoundMs = 1000;
+constexpr double MaxResumeMs = 1500;
+constexpr double MaxWithdrawalMs = 2000;
+constexpr double MaxIsolatedWithdrawalMs = 3000;
+constexpr double MaxRestartMs = 1000;
 
 bool smoke = false; ///< Set by --smoke.
-bool anyRed = false; ///< A bound was missed.
+bool anyFailed = false; ///< A bound was exceeded.
 
 double msSince(Clock::time_point start)
 {
@@ -39,13 +39,13 @@
 
 void print(const std::string &name, double value, double bound)
 {
-    const bool red = !smoke && bound > 0 && value > bound;
-    anyRed = anyRed || red;
+    const bool isFailed = !smoke && bound > 0 && value > bound;
+    anyFailed = anyFailed || isFailed;
     std::cout << "name=" << name << " value=" << value << " baseline=0 ratio=" << (bound > 0 ? value / bound : 0)
-              << " bound=" << bound << " verdict=" << (red ? "red" : "ok") << std::endl;
+              << " bound=" << bound << " verdict=" << (isFailed ? "red" : "ok") << std::endl;
 }
 
-/** A strike on a fingerprint of its own: a command with a record of a usual size. */
+/** Command that adds a strike for a new fingerprint; its record has a typical size. */
 std::string strikeCommand(int number)
 {
     capnp::MallocMessageBuilder message;
@@ -57,8 +57,8 @@
     return flatBytes(message);
 }
 
-/** One writer: the next command as soon as the last is committed. */
-kj::Promise<void> writeOn(ControlClient &client, std::vector<double> &latencies, int &next, int last)
+/** One writer: sends the next command as soon as the previous one is committed. */
+kj::Promise<void> runWriter(ControlClient &client, std::vector<double> &latencies, int &next, int last)
 {
     if (next >= last) {
         return kj::READY_NOW;
@@ -68,7 +68,7 @@
         .then([&client, &latencies, &next, last, sent](Result<std::string> &&reply) {
             KJ_REQUIRE(reply.has_value(), "a write failed");
             latencies.push_back(msSince(sent));
-            return writeOn(client, latencies, next, last);
+            return runWriter(client, latencies, next, last);
         });
 }
 
@@ -79,7 +79,7 @@
     kj::Vector<kj::Promise<void>> running;
     const int last = next + count;
     for (int i = 0; i < writers; ++i) {
-        running.add(writeOn(client, latencies, next, last));
+        running.add(runWriter(client, latencies, next, last));
     }
     loop.wait(kj::joinPromises(running.releaseAsArray()));
     const double seconds = msSince(start) / 1000;
@@ -95,7 +95,7 @@
     return fleet.processes.at("control-" + std::to_string(index))->pid;
 }
 
-/** Processor time and bytes of a leader and of a follower, idle and for each commit; memory for each record. */
+/** Measures processor time and bytes of a leader and a follower, idle and per commit, and memory per record. */
 void measureSlopes(ControlLoop &loop, ControlClient &client, const ProcessFleet &fleet, std::size_t leader, int &next)
 {
     const int count = smoke ? 200 : 5000;
@@ -105,7 +105,7 @@
         const pid_t pid = controlPid(fleet, index);
         double us = Capacity::processorUsOf(pid);
         double bytes = Capacity::readAndWrittenBytes(pid);
-        loop.wait(loop.kjTimer().afterDelay(idle.count() * kj::SECONDS)); // The loop must not stand still.
+        loop.wait(loop.kjTimer().afterDelay(idle.count() * kj::SECONDS)); // Sleeping would stop the event loop.
         const double idleUs = (Capacity::processorUsOf(pid) - us) / static_cast<double>(idle.count());
         const double idleBytes = (Capacity::readAndWrittenBytes(pid) - bytes) / static_cast<double>(idle.count());
         print("slope_" + role + "_idle_us_per_s", idleUs, 0);
@@ -118,7 +118,7 @@
         kj::Vector<kj::Promise<void>> running;
         const int last = next + count;
         for (int i = 0; i < 16; ++i) {
-            running.add(writeOn(client, latencies, next, last));
+            running.add(runWriter(client, latencies, next, last));
         }
         loop.wait(kj::joinPromises(running.releaseAsArray()));
         const double seconds = msSince(start) / 1000;
@@ -148,7 +148,7 @@
     fleet.processes.at("control-" + std::to_string(leader))->signal(SIGKILL);
     const auto killed = Clock::now();
     loop.wait(client.submitFleet(strikeCommand(next++)).ignoreResult());
-    print("resume_after_leader_loss_ms", msSince(killed), ResumeBoundMs);
+    print("resume_after_leader_loss_ms", msSince(killed), MaxResumeMs);
 }
 
 void measureRestart()
@@ -173,47 +173,48 @@
         fleet.startControl(i);
     }
     const std::size_t next = probe.leader();
-    print("restart_of_all_members_ms", msSince(start), RestartBoundMs);
+    print("restart_of_all_members_ms", msSince(start), MaxRestartMs);
     const auto lost = static_cast<double>(revision - probe.status(next)->revision);
-    anyRed = anyRed || lost != 0; // A count: judged in the short form too.
+    anyFailed = anyFailed || lost != 0; // This is a count, so --smoke checks it too.
     std::cout << "name=restart_changes_lost value=" << lost
               << " baseline=0 ratio=0 bound=0 verdict=" << (lost == 0 ? "ok" : "red") << std::endl;
 }
 
-/** Time until all entries refuse a key that is withdrawn, right after the leader was cut off where @p isolate. */
+/** Milliseconds until all entries reject a key that is withdrawn; with @p isolate, right after the leader was cut off
+ * from the network. */
 double withdrawalMs(const ProcessFleet &fleet, ControlProbe &probe, bool isolate)
 {
     const std::string issued = fleet.ctl({"keys", "issue", fleet.customer}).output;
     const std::string id = issued.substr(3, issued.find('\n') - 3);
     const std::size_t at = issued.find("key chk-") + 4;
     const std::string key = issued.substr(at, issued.find('\n', at) - at);
-    const auto allSay = [&](bool refused) {
+    const auto waitForAllEntries = [&](bool refused) {
         return waitUntil([&]() {
             return std::all_of(fleet.entryAddresses.begin(), fleet.entryAddresses.end(), [&](const auto &address) {
                 return (httpAs(key, address, "GET", "/v1/programs/none").status == 401) == refused;
             });
         });
     };
-    allSay(false);
+    waitForAllEntries(false);
     const std::size_t leader = probe.leader();
     if (isolate) {
         probe.setFault(leader, true, false);
     }
     const auto start = Clock::now();
     static_cast<void>(fleet.ctl({"keys", "withdraw", id}));
-    allSay(true);
+    waitForAllEntries(true);
     return msSince(start);
 }
 
-void measureForce()
+void measureWithdrawal()
 {
     FleetSize size;
     size.controls = 3;
     size.entries = smoke ? 2 : 9;
     ProcessFleet fleet(size);
     ControlProbe probe(fleet);
-    print("withdrawal_in_force_ms", withdrawalMs(fleet, probe, false), ForceBoundMs);
-    print("withdrawal_in_force_leader_isolated_ms", withdrawalMs(fleet, probe, true), IsolatedForceBoundMs);
+    print("withdrawal_in_force_ms", withdrawalMs(fleet, probe, false), MaxWithdrawalMs);
+    print("withdrawal_in_force_leader_isolated_ms", withdrawalMs(fleet, probe, true), MaxIsolatedWithdrawalMs);
 }
 
 } // namespace
@@ -225,6 +226,6 @@
     });
     measureCommits();
     measureRestart();
-    measureForce();
-    return anyRed ? 1 : 0;
+    measureWithdrawal();
+    return anyFailed ? 1 : 0;
 }
--- a/bench/model/engine_model.h
+++ b/bench/model/engine_model.h
@@ -1,5 +1,5 @@
-/** @file engine_model.h  A model engine in virtual time: continuous batch, prefill and decode rate, prefix cache with
- * eviction, late events with gaps. Only to measure policies. */
+/** @file engine_model.h  Simulated model engine for the benchmark of policies: continuous batching, prefill and decode
+ * rates, and a prefix cache with eviction. */
 #pragma once
 
 #include <algorithm>
@@ -20,26 +20,26 @@
 /** Speeds and sizes of one engine. */
 struct EngineShape
 {
-    std::size_t batch = 16; ///< Calls that run at the same time.
-    double stepMs = 20; ///< Of one decoded token for all running calls.
-    double stepMsPerCall = 0.3; ///< Added by each running call.
-    double prefillMsPerToken = 0.08; ///< Added by each prompt token that isn't cached.
-    double cacheTokens = 120'000; ///< Size of the prefix cache.
-    int stepTokens = 8; ///< Tokens that the model decodes in one event, to bound the number of events.
+    std::size_t batch = 16; ///< Maximum number of calls that run at the same time.
+    double stepMs = 20; ///< Time to decode one token for all running calls, in ms.
+    double stepMsPerCall = 0.3; ///< Additional time per running call, in ms.
+    double prefillMsPerToken = 0.08; ///< Additional time per prompt token that is not cached, in ms.
+    double cacheTokens = 120'000; ///< Size of the prefix cache in tokens.
+    int stepTokens = 8; ///< Tokens decoded per simulated step, to limit the number of events.
 };
 
-/** A call at an engine. */
+/** A call that is sent to an engine. */
 struct EngineCall
 {
     std::uint64_t id = 0; ///< Unique.
-    int program = 0; ///< Whose prefix it has.
-    double promptTokens = 0; ///< History included.
-    double outputTokens = 0; ///< To decode.
-    double prefillLeft = 0; ///< Set by the engine.
-    double decodeLeft = 0; ///< Set by the engine.
+    int program = 0; ///< Program whose prefix the prompt starts with.
+    double promptTokens = 0; ///< Tokens of the prompt, including the history.
+    double outputTokens = 0; ///< Tokens to decode.
+    double prefillLeft = 0; ///< Tokens still to prefill; set by the engine.
+    double decodeLeft = 0; ///< Tokens still to decode; set by the engine.
 };
 
-/** One engine; driven by `step`. */
+/** One engine; the simulation calls step() to advance it. */
 class Engine
 {
 public:
@@ -48,7 +48,7 @@
     {
     }
 
-    /** Begins @p call; the engine is never given more than its batch. @return tokens taken from the cache. */
+    /** Starts @p call. The caller must not exceed the batch size. @return tokens of the prompt found in the cache. */
     double start(EngineCall call)
     {
         const double hit = std::min(this->cachedTokens(call.program), call.promptTokens);
@@ -59,7 +59,7 @@
         return hit;
     }
 
-    /** Advances by one step. @return its length in milliseconds; ended calls are appended to @p ended. */
+    /** Advances the batch by one step. Calls that end are appended to @p ended. @return the length in milliseconds. */
     double step(std::vector<EngineCall> &ended)
     {
         double prefill = 0;
@@ -88,7 +88,7 @@
         return found == this->blocks.end() ? 0 : found->second.tokens;
     }
 
-    /** Keeps a program's blocks out of eviction while it pauses, unless there is nothing else. */
+    /** Protects a program's blocks from eviction while it pauses, unless only pinned blocks are left. */
     void pin(int program, bool pinned)
     {
         const auto found = this->blocks.find(program);
@@ -102,7 +102,7 @@
         const auto found = this->blocks.find(program);
         if (found != this->blocks.end()) {
             this->used -= found->second.tokens;
-            this->recent.erase(found->second.place);
+            this->recent.erase(found->second.position);
             this->blocks.erase(found);
         }
     }
@@ -113,7 +113,7 @@
         this->store(program, tokens);
     }
 
-    /** All is lost. @return the calls that ran. */
+    /** Loses the cache and all running calls. @return the calls that were running. */
     std::vector<EngineCall> crash()
     {
         this->blocks.clear();
@@ -122,20 +122,20 @@
         return std::exchange(this->running, {});
     }
 
-    std::function<void(int)> onEvict; ///< Called with each evicted program.
+    std::function<void(int)> onEvict; ///< Called with the number of each evicted program.
     EngineShape shape; ///< Speeds and sizes.
-    std::vector<EngineCall> running; ///< The batch.
+    std::vector<EngineCall> running; ///< Calls in the batch.
     double used = 0; ///< Tokens in the cache.
-    double evicted = 0; ///< Tokens evicted in all.
+    double evicted = 0; ///< Total of evicted tokens.
 
 private:
     static constexpr double PrefillChunk = 2048;
 
     struct Block
     {
-        double tokens = 0; ///< Of the program's prefix.
-        bool pinned = false; ///< Held during a pause.
-        std::list<int>::iterator place; ///< In `recent`.
+        double tokens = 0; ///< Cached tokens of the program's prefix.
+        bool pinned = false; ///< Protected during a pause.
+        std::list<int>::iterator position; ///< Position in `recent`.
     };
 
     void store(int program, double tokens)
@@ -144,21 +144,21 @@
         this->recent.push_back(program);
         this->blocks[program] = Block{tokens, false, std::prev(this->recent.end())};
         this->used += tokens;
-        for (const bool pinnedToo : {false, true}) {
+        for (const bool evictPinned : {false, true}) {
             auto next = this->recent.begin();
             while (this->used > this->shape.cacheTokens && next != this->recent.end()) {
-                const int victim = *next++;
-                if (victim != program && (pinnedToo || !this->blocks[victim].pinned)) {
-                    this->evicted += this->blocks[victim].tokens;
-                    this->drop(victim);
-                    this->onEvict(victim);
+                const int candidate = *next++;
+                if (candidate != program && (evictPinned || !this->blocks[candidate].pinned)) {
+                    this->evicted += this->blocks[candidate].tokens;
+                    this->drop(candidate);
+                    this->onEvict(candidate);
                 }
             }
         }
     }
 
-    std::unordered_map<int, Block> blocks; ///< By program.
-    std::list<int> recent; ///< Used longest ago first.
+    std::unordered_map<int, Block> blocks; ///< Cached blocks by program.
+    std::list<int> recent; ///< Programs, least recently used first.
 };
 
 } // namespace Chestnuthook::Model
--- a/bench/model/program_mix.h
+++ b/bench/model/program_mix.h
@@ -1,5 +1,5 @@
-/** @file program_mix.h  Programs of both deployments, made from a seed: long sessions with helper sub-agents, order
- * desks with tool calls, one customer at five times its rate. */
+/** @file program_mix.h  Workload mixes of both deployments, generated from a seed: long sessions with helper
+ * sub-agents, and order desks with tool calls where one customer sends five times its share. */
 #pragma once
 
 #include <cmath>
@@ -15,72 +15,78 @@
 /** One model call and the pause after it. */
 struct Turn
 {
-    double newTokens = 0; ///< Added to the prompt.
-    double outputTokens = 0; ///< Of the answer.
-    double pauseSeconds = 0; ///< Of the tool call after it; 0 for the last turn.
-    int service = 0; ///< Whose pause it is; 0 for a person.
-    int helper = -1; ///< Program that has to end before the next turn; -1 for none.
+    double newTokens = 0; ///< Tokens added to the prompt.
+    double outputTokens = 0; ///< Tokens of the answer.
+    double pauseSeconds = 0; ///< Length of the pause after the call; 0 for the last turn.
+    int service = 0; ///< Service that causes the pause; 0 for a person.
+    int helper = -1; ///< Helper program that has to end before the next turn; -1 for none.
 };
 
+/** A program of the workload. */
 struct ModelProgram
 {
-    double arrival = 0; ///< In seconds; below zero for a helper, which its parent starts.
+    double arrival = 0; ///< Arrival time in seconds; below zero for a helper, which its parent starts.
     int customer = 0; ///< Index into the mix's customers.
-    int parent = -1; ///< For a helper.
-    std::vector<Turn> turns; ///< One after the other.
+    int parent = -1; ///< Parent of a helper; -1 for none.
+    std::vector<Turn> turns; ///< Turns, which run one after the other.
 };
 
+/** A customer of the workload. */
 struct ModelCustomer
 {
-    std::string name; ///< As in deploy/.
-    double weight = 1; ///< Declared share.
-    double arrivalShare = 1; ///< Of all programs.
+    std::string name; ///< Name as in deploy/.
+    double weight = 1; ///< Declared weight.
+    double arrivalShare = 1; ///< Relative share of all arriving programs.
 };
 
+/** A workload. */
 struct Mix
 {
     std::string name; ///< kortagatt, derwent or fault.
-    std::vector<ModelCustomer> customers; ///< With their shares.
-    std::vector<ModelProgram> programs; ///< Helpers come after their parents.
-    double burstBegin = 0; ///< In seconds; then the arrivals are twice the capacity.
-    double burstEnd = 0; ///< In seconds; the arrivals end at Horizon.
+    std::vector<ModelCustomer> customers; ///< Customers with their shares.
+    std::vector<ModelProgram> programs; ///< Programs; helpers follow their parents.
+    double burstBegin = 0; ///< Start of the burst in seconds; during the burst arrivals are twice the capacity.
+    double burstEnd = 0; ///< End of the burst in seconds; arrivals go on until HorizonSeconds.
 };
 
-constexpr double Horizon = 300; ///< Seconds in which programs arrive.
+constexpr double HorizonSeconds = 300; ///< Programs arrive until this time.
 
+/** Draws from an exponential distribution. */
 inline double exponential(std::uint64_t &random, double mean)
 {
     return -mean * std::log(1 - nextUniform(random));
 }
 
-inline double between(std::uint64_t &random, double low, double high)
+/** Draws from a uniform distribution over [low, high). */
+inline double uniform(std::uint64_t &random, double low, double high)
 {
     return low + (high - low) * nextUniform(random);
 }
 
-/** Shape of one deployment's programs. */
+/** Distributions of one deployment's programs. */
 struct MixShape
 {
-    double programsPerSecond = 1; ///< Outside the burst.
-    double burstFactor = 4; ///< In the burst; its arrivals are then twice what ten engines can decode and prefill.
-    double firstPrompt = 1500; ///< Tokens of the first prompt, on average.
-    double minTurns = 4; ///< Of a program.
-    double maxTurns = 20; ///< Of a program.
-    double newTokens = 250; ///< For each later turn, on average.
-    double outputTokens = 160; ///< Of each answer, on average.
+    double programsPerSecond = 1; ///< Arrival rate outside the burst.
+    double burstFactor = 4; ///< Factor on the arrival rate in the burst, which gives twice the capacity of ten engines.
+    double firstPrompt = 1500; ///< Mean tokens of the first prompt.
+    double minTurns = 4; ///< Minimum turns of a program.
+    double maxTurns = 20; ///< Maximum turns of a program.
+    double newTokens = 250; ///< Mean tokens that each later turn adds.
+    double outputTokens = 160; ///< Mean tokens of an answer.
     double servicePause = 1; ///< Mean seconds of a tool call.
-    double personPause = 12; ///< Mean seconds of a person's pause.
-    double personShare = 0.4; ///< Pauses that wait for a person.
-    double helperShare = 0.25; ///< Turns after which a helper runs.
+    double personPause = 12; ///< Mean seconds of a pause for a person.
+    double personShare = 0.4; ///< Share of pauses that wait for a person.
+    double helperShare = 0.25; ///< Share of turns after which a helper runs.
 };
 
+/** Generates one program or, with @p helper, a helper of two turns. */
 inline ModelProgram makeProgram(std::uint64_t &random, const MixShape &shape, bool helper)
 {
     ModelProgram program;
-    const double turns = helper ? 2 : std::floor(between(random, shape.minTurns, shape.maxTurns + 1));
+    const double turns = helper ? 2 : std::floor(uniform(random, shape.minTurns, shape.maxTurns + 1));
     for (int i = 0; i < static_cast<int>(turns); ++i) {
         Turn turn;
-        turn.newTokens = (i == 0 ? shape.firstPrompt : shape.newTokens) * between(random, 0.5, 1.5);
+        turn.newTokens = (i == 0 ? shape.firstPrompt : shape.newTokens) * uniform(random, 0.5, 1.5);
         turn.outputTokens = std::max(16.0, exponential(random, shape.outputTokens));
         const bool person = nextUniform(random) < shape.personShare && !helper;
         turn.service = person ? 0 : 1;
@@ -91,6 +97,7 @@
     return program;
 }
 
+/** Generates a workload with Poisson arrivals. */
 inline Mix makeMix(
     const std::string &name, const std::vector<ModelCustomer> &customers, const MixShape &shape, std::uint64_t random)
 {
@@ -103,7 +110,7 @@
     while (true) {
         const bool burst = now >= mix.burstBegin && now < mix.burstEnd;
         now += exponential(random, 1 / (shape.programsPerSecond * (burst ? shape.burstFactor : 1)));
-        if (now >= Horizon) {
+        if (now >= HorizonSeconds) {
             return mix;
         }
         ModelProgram program = makeProgram(random, shape, false);
@@ -128,7 +135,7 @@
     }
 }
 
-/** Long sessions of editors, with helpers that check grammar and metre. */
+/** Long sessions of editors, with helper sub-agents that check grammar and metre. */
 inline Mix kortagattMix(std::uint64_t seed)
 {
     return makeMix("kortagatt",
@@ -137,7 +144,7 @@
         MixShape{}, seed);
 }
 
-/** Order desks with tool calls; packer-hobart sends five times its share. */
+/** Order desks with tool calls; the customer packer-hobart sends five times its share. */
 inline Mix derwentMix(std::uint64_t seed)
 {
     MixShape shape;
--- a/bench/policy_bench.cpp
+++ b/bench/policy_bench.cpp
@@ -1,5 +1,6 @@
-/** @file policy_bench.cpp  The four measures of the users for each mix, against every baseline and with each mechanism
- * turned off, in virtual time: the same figures on each run. */
+/** @file policy_bench.cpp  Latency, recomputed tokens, held cache and fairness of the production policies for each
+ * workload mix, against baselines and with each mechanism turned off. Runs in virtual time, so results are
+ * reproducible. */
 #include <cmath>
 #include <cstdio>
 #include <string>
@@ -12,40 +13,41 @@
 namespace
 {
 
-/** Prints one measure; a bound above zero is the most that ratio may be, one below zero the least that value may be. */
+/** Prints one measure. A @p bound above zero is the maximum ratio to the baseline; the absolute value of one below zero
+ * is the minimum value. */
 void print(const std::string &name, double value, double baseline, double bound)
 {
-    // Against a baseline of nothing, anything is too much.
+    // Any value exceeds a baseline of zero.
     const double ratio = baseline != 0 ? value / baseline : value == 0 ? 0 : HUGE_VAL;
-    const bool red = bound > 0 ? ratio > bound : bound < 0 && value < -bound;
+    const bool isFailed = bound > 0 ? ratio > bound : bound < 0 && value < -bound;
     char limit[32] = "none";
     if (bound != 0) {
         std::snprintf(limit, sizeof(limit), "%s%.2f", bound > 0 ? "<=" : ">=", std::abs(bound));
     }
     std::printf("name=policy.%s value=%.3f baseline=%.3f ratio=%.3f bound=%s verdict=%s\n", name.c_str(), value,
-        baseline, ratio, limit, red ? "red" : "ok");
+        baseline, ratio, limit, isFailed ? "red" : "ok");
 }
 
-void printAll(const std::string &name, const Measures &value, const Measures &ours)
+void printAll(const std::string &name, const Measures &value, const Measures &production)
 {
-    print(name + ".mean_latency_s", value.meanLatency, ours.meanLatency, 0);
-    print(name + ".p95_latency_s", value.p95Latency, ours.p95Latency, 0);
-    print(name + ".recomputed_tokens", value.recomputed, ours.recomputed, 0);
-    print(name + ".paused_token_seconds", value.pausedTokenSeconds, ours.pausedTokenSeconds, 0);
-    print(name + ".ended_token_seconds", value.endedTokenSeconds, ours.endedTokenSeconds, 0);
-    print(name + ".worst_share", value.worstShare, ours.worstShare, 0);
-    print(name + ".worst_tenant_latency_s", value.worstLatency, ours.worstLatency, 0);
+    print(name + ".mean_latency_s", value.meanLatency, production.meanLatency, 0);
+    print(name + ".p95_latency_s", value.p95Latency, production.p95Latency, 0);
+    print(name + ".recomputed_tokens", value.recomputed, production.recomputed, 0);
+    print(name + ".paused_token_seconds", value.pausedTokenSeconds, production.pausedTokenSeconds, 0);
+    print(name + ".ended_token_seconds", value.endedTokenSeconds, production.endedTokenSeconds, 0);
+    print(name + ".worst_share", value.worstShare, production.worstShare, 0);
+    print(name + ".worst_tenant_latency_s", value.worstLatency, production.worstLatency, 0);
 }
 
-template<typename Order, typename Choice, typename Keep>
-Measures measure(const Mix &mix, Options options, Order order = {}, Choice choice = {}, Keep keep = {})
+template<typename Order, typename Choice, typename RetentionPolicy>
+Measures measure(const Mix &mix, Options options, Order order = {}, Choice choice = {}, RetentionPolicy retention = {})
 {
-    return FleetModel<Order, Choice, Keep>(mix, options, order, choice, keep).run();
+    return FleetModel<Order, Choice, RetentionPolicy>(mix, options, order, choice, retention).run();
 }
 
-using OurOrder = MostAttainedService;
-using OurChoice = PredictedCompletion;
-using OurKeep = LeastCost;
+using ProductionOrder = MostAttainedService;
+using ProductionChoice = PredictedCompletion;
+using ProductionRetention = LeastCost;
 
 Options baselineOptions(Options options)
 {
@@ -54,68 +56,82 @@
     return options;
 }
 
-void benchBaselines(const Mix &mix, const Options &options, const Measures &ours)
+void benchBaselines(const Mix &mix, const Options &options, const Measures &production)
 {
-    const Options plain = baselineOptions(options);
-    Options affinity = plain;
+    const Options baseline = baselineOptions(options);
+    Options affinity = baseline;
     affinity.prefixIndex = true;
-    Options reports = plain;
+    Options reports = baseline;
     reports.load = LoadSource::Reports;
     const std::string name = mix.name + ".baseline.";
-    printAll(name + "arrival_least_loaded", measure<ArrivalOrder, LeastLoaded, AlwaysHold>(mix, plain), ours);
-    printAll(name + "arrival_least_reported", measure<ArrivalOrder, LeastLoaded, AlwaysHold>(mix, reports), ours);
-    printAll(name + "arrival_two_choices", measure<ArrivalOrder, PowerOfTwoChoices, AlwaysHold>(mix, reports), ours);
-    printAll(name + "arrival_affinity", measure<ArrivalOrder, StrictCacheAffinity, AlwaysHold>(mix, affinity), ours);
-    printAll(name + "least_attained", measure<LeastAttainedService, OurChoice, OurKeep>(mix, options), ours);
-    printAll(name + "shortest_first", measure<ShortestFirst, OurChoice, OurKeep>(mix, options), ours);
+    printAll(name + "arrival_least_loaded", measure<ArrivalOrder, LeastLoaded, AlwaysHold>(mix, baseline), production);
+    printAll(name + "arrival_least_reported", measure<ArrivalOrder, LeastLoaded, AlwaysHold>(mix, reports), production);
+    printAll(
+        name + "arrival_two_choices", measure<ArrivalOrder, PowerOfTwoChoices, AlwaysHold>(mix, reports), production);
+    printAll(
+        name + "arrival_affinity", measure<ArrivalOrder, StrictCacheAffinity, AlwaysHold>(mix, affinity), production);
+    printAll(name + "least_attained",
+        measure<LeastAttainedService, ProductionChoice, ProductionRetention>(mix, options), production);
+    printAll(name + "shortest_first", measure<ShortestFirst, ProductionChoice, ProductionRetention>(mix, options),
+        production);
 }
 
-void benchAblations(const Mix &mix, const Options &options, const Measures &ours)
+void benchAblations(const Mix &mix, const Options &options, const Measures &production)
 {
     const std::string name = mix.name + ".without.";
-    printAll(name + "order", measure<ArrivalOrder, OurChoice, OurKeep>(mix, options), ours);
-    printAll(name + "ageing", measure<OurOrder, OurChoice, OurKeep>(mix, options, OurOrder{0}), ours);
+    printAll(name + "order", measure<ArrivalOrder, ProductionChoice, ProductionRetention>(mix, options), production);
+    printAll(name + "ageing",
+        measure<ProductionOrder, ProductionChoice, ProductionRetention>(mix, options, ProductionOrder{0}), production);
     Options unfair = options;
     unfair.fair = false;
-    printAll(name + "fairness", measure<OurOrder, OurChoice, OurKeep>(mix, unfair), ours);
-    Options blind = options;
-    blind.prefixIndex = false;
-    printAll(name + "prefix_index", measure<OurOrder, OurChoice, OurKeep>(mix, blind), ours);
+    printAll(
+        name + "fairness", measure<ProductionOrder, ProductionChoice, ProductionRetention>(mix, unfair), production);
+    Options withoutIndex = options;
+    withoutIndex.prefixIndex = false;
+    printAll(name + "prefix_index", measure<ProductionOrder, ProductionChoice, ProductionRetention>(mix, withoutIndex),
+        production);
     Options reports = options;
     reports.load = LoadSource::Reports;
-    printAll(name + "counts_but_reports", measure<OurOrder, OurChoice, OurKeep>(mix, reports), ours);
+    printAll(name + "counts_but_reports", measure<ProductionOrder, ProductionChoice, ProductionRetention>(mix, reports),
+        production);
     Options corrected = options;
     corrected.load = LoadSource::CorrectedReports;
-    printAll(name + "counts_but_corrected", measure<OurOrder, OurChoice, OurKeep>(mix, corrected), ours);
-    printAll(name + "retention_but_hold", measure<OurOrder, OurChoice, AlwaysHold>(mix, options), ours);
-    printAll(name + "retention_but_drop", measure<OurOrder, OurChoice, AlwaysDrop>(mix, options), ours);
+    printAll(name + "counts_but_corrected",
+        measure<ProductionOrder, ProductionChoice, ProductionRetention>(mix, corrected), production);
+    printAll(
+        name + "retention_but_hold", measure<ProductionOrder, ProductionChoice, AlwaysHold>(mix, options), production);
+    printAll(
+        name + "retention_but_drop", measure<ProductionOrder, ProductionChoice, AlwaysDrop>(mix, options), production);
     Options unreleased = options;
     unreleased.releaseEnded = false;
-    printAll(name + "release_of_ended", measure<OurOrder, OurChoice, OurKeep>(mix, unreleased), ours);
+    printAll(name + "release_of_ended",
+        measure<ProductionOrder, ProductionChoice, ProductionRetention>(mix, unreleased), production);
 }
 
-/** The targets of the design. */
-void benchTargets(const Mix &mix, const Options &options, const Measures &ours)
+/** Compares the production policies with the targets of the design. */
+void benchTargets(const Mix &mix, const Options &options, const Measures &production)
 {
-    const Measures rotation = measure<ArrivalOrder, RoundRobin, AlwaysHold>(mix, baselineOptions(options));
+    const Measures roundRobin = measure<ArrivalOrder, RoundRobin, AlwaysHold>(mix, baselineOptions(options));
     Options affinityOptions = options;
-    const Measures affinity = measure<OurOrder, StrictCacheAffinity, OurKeep>(mix, affinityOptions);
-    print(mix.name + ".mean_latency_s_against_arrival_round_robin", ours.meanLatency, rotation.meanLatency, 0.5);
-    print(mix.name + ".recomputed_tokens_against_round_robin", ours.recomputed, rotation.recomputed, 0.3);
-    print(mix.name + ".recomputed_tokens_against_affinity", ours.recomputed, affinity.recomputed, 1.1);
-    print(mix.name + ".worst_share", ours.worstShare, rotation.worstShare, -0.95);
-    print(mix.name + ".worst_share_of_all_demand", ours.worstShareOfAllDemand, rotation.worstShareOfAllDemand, -0.95);
-    printAll(mix.name + ".baseline.arrival_round_robin", rotation, ours);
+    const Measures affinity = measure<ProductionOrder, StrictCacheAffinity, ProductionRetention>(mix, affinityOptions);
+    print(
+        mix.name + ".mean_latency_s_against_arrival_round_robin", production.meanLatency, roundRobin.meanLatency, 0.5);
+    print(mix.name + ".recomputed_tokens_against_round_robin", production.recomputed, roundRobin.recomputed, 0.3);
+    print(mix.name + ".recomputed_tokens_against_affinity", production.recomputed, affinity.recomputed, 1.1);
+    print(mix.name + ".worst_share", production.worstShare, roundRobin.worstShare, -0.95);
+    print(mix.name + ".worst_share_of_all_demand", production.worstShareOfAllDemand, roundRobin.worstShareOfAllDemand,
+        -0.95);
+    printAll(mix.name + ".baseline.arrival_round_robin", roundRobin, production);
 }
 
 void benchMix(const Mix &mix, const Options &options, bool smoke)
 {
-    const Measures ours = measure<OurOrder, OurChoice, OurKeep>(mix, options);
-    printAll(mix.name + ".ours", ours, ours);
-    benchTargets(mix, options, ours);
+    const Measures production = measure<ProductionOrder, ProductionChoice, ProductionRetention>(mix, options);
+    printAll(mix.name + ".ours", production, production);
+    benchTargets(mix, options, production);
     if (!smoke) {
-        benchBaselines(mix, options, ours);
-        benchAblations(mix, options, ours);
+        benchBaselines(mix, options, production);
+        benchAblations(mix, options, production);
     }
 }
 
@@ -133,5 +149,5 @@
     faults.faults = true;
     faults.reportLag = 3;
     benchMix(fault, faults, smoke);
-    return 0; // scripts/bench judges by the verdicts.
+    return 0; // scripts/bench evaluates the printed verdicts.
 }
--- a/bench/program_bench.cpp
+++ b/bench/program_bench.cpp
@@ -1,5 +1,5 @@
-/** @file program_bench.cpp  What a call costs beside the engine: added latency against a direct call in the same run,
- * journal writes and bytes for each call, and how soon a killed entry's programs are served again. */
+/** @file program_bench.cpp  Overhead of a call: latency added to a direct call to the engine in the same run, bytes
+ * written to the log for each call, and the time until programs of a killed entry are served again. */
 #include <algorithm>
 #include <chrono>
 #include <csignal>
@@ -17,8 +17,8 @@
 
 using Clock = std::chrono::steady_clock;
 
-constexpr double AddedP95BoundMs = 5;
-constexpr double TakeoverBoundMs = 4000;
+constexpr double MaxAddedP95Ms = 5;
+constexpr double MaxTakeoverMs = 4000;
 
 double msSince(Clock::time_point start)
 {
@@ -69,7 +69,7 @@
     const double p50 = percentile(throughMs, 0.5) - percentile(directMs, 0.5);
     const double p95 = percentile(throughMs, 0.95) - percentile(directMs, 0.95);
     print("program_added_p50_ms", p50, percentile(directMs, 0.5), 0, judged);
-    print("program_added_p95_ms", p95, percentile(directMs, 0.95), AddedP95BoundMs, judged);
+    print("program_added_p95_ms", p95, percentile(directMs, 0.95), MaxAddedP95Ms, judged);
     print("program_log_bytes_per_call", static_cast<double>(bytes) / calls, 0, 0, judged);
 }
 
@@ -81,7 +81,7 @@
     waitUntil([&]() {
         return fleet.ask(1, "GET", program).status == 200;
     });
-    print("program_takeover_ms", msSince(killed), 0, TakeoverBoundMs, judged);
+    print("program_takeover_ms", msSince(killed), 0, MaxTakeoverMs, judged);
 }
 
 } // namespace
