--- a/src/admission/customer_rate_limiter_base.cpp
+++ b/src/admission/customer_rate_limiter_base.cpp
@@ -8,9 +8,9 @@
 namespace Chestnuthook
 {
 
-void CustomerRateLimiter::update(const SlotFacts &facts, Instant now)
+void CustomerRateLimiter::update(const SlotSnapshot &snapshot, Instant now)
 {
-    this->slotOwnerships.update(facts, now);
+    this->slotOwnerships.update(snapshot, now);
 }
 
 TokenBucket &CustomerRateLimiter::bucketOf(const CustomerDeclaration &customer, SlotId slot, Instant now)
@@ -65,11 +65,11 @@
     return decision;
 }
 
-std::optional<std::vector<BucketLevel>> CustomerRateLimiter::giveUp(
+std::optional<std::vector<BucketLevel>> CustomerRateLimiter::releaseSlot(
     SlotId slot, Epoch epoch, const std::vector<CustomerDeclaration> &customersOfSlot, Instant now)
 {
     const bool isCurrentEpoch = this->slotOwnerships.at(slot).epoch == epoch;
-    if (!this->slotOwnerships.giveUp(slot, epoch, now)) {
+    if (!this->slotOwnerships.releaseSlot(slot, epoch, now)) {
         return std::nullopt;
     }
     std::vector<BucketLevel> levels;
--- a/src/admission/customer_rate_limiter_base.h
+++ b/src/admission/customer_rate_limiter_base.h
@@ -54,7 +54,7 @@
     using CustomerLookup = std::function<const CustomerDeclaration *(const CustomerId &)>;
 
     /** Updates the ownership of slots from a newer view of the fleet. */
-    void update(const SlotFacts &facts, Instant now);
+    void update(const SlotSnapshot &snapshot, Instant now);
 
     /** Decides on @p count requests of @p customer. This entry's view is valid until @p leaseEnd, so no request is
      * granted that falls due later. */
@@ -62,7 +62,7 @@
 
     /** Stops granting for @p slot under @p epoch. @return the levels of its buckets; nothing if the successor has to
      * wait for FormerOwnerTimeout. */
-    std::optional<std::vector<BucketLevel>> giveUp(
+    std::optional<std::vector<BucketLevel>> releaseSlot(
         SlotId slot, Epoch epoch, const std::vector<CustomerDeclaration> &customersOfSlot, Instant now);
 
     /** Starts granting with the bucket levels of the former owner. */
--- a/src/admission/slot_ownership_base.cpp
+++ b/src/admission/slot_ownership_base.cpp
@@ -18,11 +18,11 @@
     ownership.grantsStartAt = first ? now : now + FormerOwnerTimeout;
 }
 
-std::vector<SlotId> SlotOwnershipTable::update(const SlotFacts &facts, Instant now)
+std::vector<SlotId> SlotOwnershipTable::update(const SlotSnapshot &snapshot, Instant now)
 {
     std::vector<SlotId> gained;
-    for (std::uint16_t number = 0; number < SlotCount && number < facts.slots->size(); ++number) {
-        const SlotRecord &record = (*facts.slots)[number];
+    for (std::uint16_t number = 0; number < SlotCount && number < snapshot.slots->size(); ++number) {
+        const SlotRecord &record = (*snapshot.slots)[number];
         SlotOwnership &ownership = this->slotOwnerships[number];
         if (record.epoch > ownership.epoch) {
             if (ownership.grantsStartAt && *ownership.grantsStartAt <= now) {
@@ -37,7 +37,7 @@
             ownership.former = record.former;
             ownership.formerEpoch = record.formerEpoch;
             ownership.grantsStartAt.reset();
-            if (record.owner == facts.self) {
+            if (record.owner == snapshot.self) {
                 this->startOwnership(ownership, now);
                 gained.push_back(SlotId{number});
             }
@@ -45,7 +45,7 @@
         // The leader ends a lease only after the view of its holder has expired, so the former owner no longer grants.
         // Earlier owners had lost the slot by the time when this entry first saw the former epoch.
         const bool isWaiting = ownership.grantsStartAt && *ownership.grantsStartAt > now;
-        const bool formerExpired = ownership.former.empty() || !facts.leased.contains(ownership.former);
+        const bool formerExpired = ownership.former.empty() || !snapshot.leased.contains(ownership.former);
         if (isWaiting && formerExpired && ownership.previousEpoch == ownership.formerEpoch) {
             ownership.grantsStartAt =
                 std::min(*ownership.grantsStartAt, std::max(now, ownership.previousEpochSeenAt + FormerOwnerTimeout));
@@ -54,13 +54,13 @@
     return gained;
 }
 
-std::vector<HandoverRequest> SlotOwnershipTable::wanted(const SlotFacts &facts, Instant now) const
+std::vector<HandoverRequest> SlotOwnershipTable::pendingHandovers(const SlotSnapshot &snapshot, Instant now) const
 {
     std::vector<HandoverRequest> requests;
     for (std::uint16_t number = 0; number < SlotCount; ++number) {
         const SlotOwnership &ownership = this->slotOwnerships[number];
         const bool isWaiting = ownership.grantsStartAt && *ownership.grantsStartAt > now;
-        if (isWaiting && ownership.former != facts.self && facts.leased.contains(ownership.former)) {
+        if (isWaiting && ownership.former != snapshot.self && snapshot.leased.contains(ownership.former)) {
             requests.push_back({SlotId{number}, ownership.epoch, ownership.former, ownership.formerEpoch});
         }
     }
@@ -80,14 +80,14 @@
     return true;
 }
 
-bool SlotOwnershipTable::giveUp(SlotId slot, Epoch epoch, Instant now)
+bool SlotOwnershipTable::releaseSlot(SlotId slot, Epoch epoch, Instant now)
 {
     SlotOwnership &ownership = this->slotOwnerships[slot.value];
     if (ownership.epoch == epoch) {
         if (!ownership.grantsStartAt || *ownership.grantsStartAt > now) {
             return false;
         }
-        ownership.givenUpEpoch = std::max(ownership.givenUpEpoch, epoch);
+        ownership.releasedEpoch = std::max(ownership.releasedEpoch, epoch);
         return true;
     }
     return ownership.lastGrantingEpoch == epoch;
@@ -96,7 +96,7 @@
 std::optional<Duration> SlotOwnershipTable::timeUntilGrants(SlotId slot, Instant now) const
 {
     const SlotOwnership &ownership = this->slotOwnerships[slot.value];
-    if (!ownership.grantsStartAt || ownership.givenUpEpoch >= ownership.epoch) {
+    if (!ownership.grantsStartAt || ownership.releasedEpoch >= ownership.epoch) {
         return std::nullopt;
     }
     return std::max(Duration(0), *ownership.grantsStartAt - now);
--- a/src/admission/slot_ownership_base.h
+++ b/src/admission/slot_ownership_base.h
@@ -20,7 +20,7 @@
 constexpr Duration FormerOwnerTimeout = std::chrono::milliseconds(3300);
 
 /** The part of an entry's view of the fleet that decides on ownership of slots. */
-struct SlotFacts
+struct SlotSnapshot
 {
     EntryId self; ///< This entry.
     const std::vector<SlotRecord> *slots = nullptr; ///< By slot number.
@@ -55,7 +55,7 @@
     Epoch formerEpoch; ///< Epoch of `former`, from the fleet state.
     std::optional<Instant> grantsStartAt; ///< Time from which this entry may grant; set while it owns the slot.
     InitialBucketLevel initialLevel = InitialBucketLevel::Empty; ///< Level at which the buckets start.
-    Epoch givenUpEpoch; ///< Highest epoch under which this entry stopped granting at the request of a successor.
+    Epoch releasedEpoch; ///< Highest epoch under which this entry stopped granting at the request of a successor.
     Epoch lastGrantingEpoch; ///< Last epoch in which this entry granted before it lost the slot; 0 for none.
     Instant lastGrantingEpochEndedAt; ///< Time when this entry saw that the slot had another epoch.
 };
@@ -67,10 +67,10 @@
     SlotOwnershipTable();
 
     /** Updates the table from a newer view of the fleet. @return slots that this entry gained. */
-    std::vector<SlotId> update(const SlotFacts &facts, Instant now);
+    std::vector<SlotId> update(const SlotSnapshot &snapshot, Instant now);
 
     /** Handovers that would let this entry start granting before FormerOwnerTimeout has passed. */
-    [[nodiscard]] std::vector<HandoverRequest> wanted(const SlotFacts &facts, Instant now) const;
+    [[nodiscard]] std::vector<HandoverRequest> pendingHandovers(const SlotSnapshot &snapshot, Instant now) const;
 
     /** Starts granting now, as the former owner has stopped. @return false if the slot has changed owner in the
      * meantime, or this entry grants already. */
@@ -78,7 +78,7 @@
 
     /** Stops granting for @p slot under @p epoch permanently.
      * @return false if this entry was not granting under @p epoch, so that the successor has to wait. */
-    bool giveUp(SlotId slot, Epoch epoch, Instant now);
+    bool releaseSlot(SlotId slot, Epoch epoch, Instant now);
 
     /** Time until this entry may grant for @p slot; nothing if it does not own the slot or has given it up. */
     [[nodiscard]] std::optional<Duration> timeUntilGrants(SlotId slot, Instant now) const;
--- a/src/entry/admission_client_base.cpp
+++ b/src/entry/admission_client_base.cpp
@@ -34,9 +34,9 @@
 {
 }
 
-SlotFacts AdmissionClient::facts(const FleetView &view) const
+SlotSnapshot AdmissionClient::facts(const FleetView &view) const
 {
-    SlotFacts facts{this->follower.self.id, &view.slots, {}};
+    SlotSnapshot facts{this->follower.self.id, &view.slots, {}};
     for (const EntryRecord &entry : view.entries) {
         facts.leased.insert(entry.id);
     }
@@ -174,7 +174,7 @@
     const auto view = this->follower.views.get();
     std::map<std::string, std::vector<HandoverRequest>> byAddress;
     for (const HandoverRequest &handover :
-        this->owner.slotOwnerships.wanted(this->facts(*view), this->loop.timers().now())) {
+        this->owner.slotOwnerships.pendingHandovers(this->facts(*view), this->loop.timers().now())) {
         byAddress[this->addressOf(handover.former)].push_back(handover);
     }
     if (byAddress.empty()) {
@@ -239,7 +239,7 @@
         if (slot.value >= SlotCount || view == nullptr) {
             continue;
         }
-        const auto levels = this->owner.giveUp(slot, epoch, customers[slot], this->loop.timers().now());
+        const auto levels = this->owner.releaseSlot(slot, epoch, customers[slot], this->loop.timers().now());
         replies[i].setStopped(levels.has_value());
         if (levels) {
             auto list = replies[i].initLevels(static_cast<unsigned>(levels->size()));
--- a/src/entry/admission_client_base.h
+++ b/src/entry/admission_client_base.h
@@ -45,7 +45,7 @@
         bool busy = false; ///< A batch is under way; the next goes when it is back.
     };
 
-    [[nodiscard]] SlotFacts facts(const FleetView &view) const;
+    [[nodiscard]] SlotSnapshot facts(const FleetView &view) const;
     void send(const std::string &address);
     void takeReplies(
         capnp::List<Wire::AdmitReply>::Reader replies, std::vector<Waiter> &waiters, const std::vector<unsigned> &rows);
--- a/tests/unit/admission_simulation_test.cpp
+++ b/tests/unit/admission_simulation_test.cpp
@@ -203,26 +203,26 @@
             entry->slots = slots;
             entry->leased = leased;
             entry->freshUntil = std::max(entry->freshUntil, sentAt + Freshness);
-            entry->owner.update(SlotFacts{entry->id, &entry->slots, entry->leased}, this->now);
+            entry->owner.update(SlotSnapshot{entry->id, &entry->slots, entry->leased}, this->now);
             this->handOver(entry);
         });
     }
 
     void handOver(EntryPointer successor)
     {
-        const SlotFacts facts{successor->id, &successor->slots, successor->leased};
-        for (const HandoverRequest &wanted : successor->owner.slotOwnerships.wanted(facts, this->now)) {
-            if (wanted.slot != slotOf(this->customer.id.text)) {
+        const SlotSnapshot snapshot{successor->id, &successor->slots, successor->leased};
+        for (const HandoverRequest &handover : successor->owner.slotOwnerships.pendingHandovers(snapshot, this->now)) {
+            if (handover.slot != slotOf(this->customer.id.text)) {
                 continue;
             }
             for (const EntryPointer &former : this->entries) {
-                if (former->id == wanted.former && this->now >= successor->isolatedUntil) {
-                    this->inEntry(this->now + this->latency(), former, true, [this, former, successor, wanted]() {
+                if (former->id == handover.former && this->now >= successor->isolatedUntil) {
+                    this->inEntry(this->now + this->latency(), former, true, [this, former, successor, handover]() {
                         const auto levels =
-                            former->owner.giveUp(wanted.slot, wanted.formerEpoch, {this->customer}, this->now);
+                            former->owner.releaseSlot(handover.slot, handover.formerEpoch, {this->customer}, this->now);
                         if (levels) {
                             this->inEntry(this->now + this->latency(), successor, true, [=, this]() {
-                                successor->owner.adopt(wanted, *levels, this->now);
+                                successor->owner.adopt(handover, *levels, this->now);
                             });
                         }
                     });
--- a/tests/unit/admission_tenure_test.cpp
+++ b/tests/unit/admission_tenure_test.cpp
@@ -25,8 +25,8 @@
         std::int64_t ms)
     {
         this->slots[Number] = SlotRecord{std::move(owner), Epoch{epoch}, std::move(former), Epoch{formerEpoch}};
-        this->facts = SlotFacts{Self, &this->slots, std::move(leased)};
-        this->slotOwnerships.update(this->facts, Instant(ms * 1000));
+        this->snapshot = SlotSnapshot{Self, &this->slots, std::move(leased)};
+        this->slotOwnerships.update(this->snapshot, Instant(ms * 1000));
     }
     std::int64_t startsInMs(std::int64_t ms)
     {
@@ -35,7 +35,7 @@
     }
 
     std::vector<SlotRecord> slots = std::vector<SlotRecord>(SlotCount);
-    SlotFacts facts;
+    SlotSnapshot snapshot;
     SlotOwnershipTable slotOwnerships;
 };
 
@@ -53,7 +53,7 @@
     this->see(Other, 5, {}, 0, {Self, Other}, 0);
     this->see(Self, 9, Other, 5, {Self, Other}, 10'000);
     BOOST_TEST(this->startsInMs(10'000) == 3300);
-    BOOST_TEST(this->slotOwnerships.wanted(this->facts, Instant(10'000'000)).size() == 1U);
+    BOOST_TEST(this->slotOwnerships.pendingHandovers(this->snapshot, Instant(10'000'000)).size() == 1U);
 }
 
 BOOST_FIXTURE_TEST_CASE(successor_starts_at_once_after_expired_lease_of_long_known_owner, Fixture)
@@ -80,9 +80,9 @@
 BOOST_FIXTURE_TEST_CASE(no_grants_for_a_slot_that_was_given_up, Fixture)
 {
     this->see(Self, 5, {}, 0, {Self, Other}, 0);
-    BOOST_TEST(this->slotOwnerships.giveUp(Slot, Epoch{5}, Instant(1000)));
+    BOOST_TEST(this->slotOwnerships.releaseSlot(Slot, Epoch{5}, Instant(1000)));
     BOOST_TEST(this->startsInMs(1) == -1);
-    BOOST_TEST(!this->slotOwnerships.giveUp(Slot, Epoch{4}, Instant(1000)));
+    BOOST_TEST(!this->slotOwnerships.releaseSlot(Slot, Epoch{4}, Instant(1000)));
 }
 
 BOOST_AUTO_TEST_CASE(handover_transfers_bucket_levels)
@@ -93,21 +93,21 @@
     CustomerRateLimiter before;
     CustomerRateLimiter after;
     slots[slot.value] = SlotRecord{Other, Epoch{5}, {}, Epoch{}};
-    before.update(SlotFacts{Other, &slots, {Self, Other}}, Instant(0));
-    after.update(SlotFacts{Self, &slots, {Self, Other}}, Instant(0));
+    before.update(SlotSnapshot{Other, &slots, {Self, Other}}, Instant(0));
+    after.update(SlotSnapshot{Self, &slots, {Self, Other}}, Instant(0));
     const Instant lease(60'000'000);
     const std::size_t granted = before.admit(customer, 1000, Instant(0), lease).delays.size();
     BOOST_TEST(
         granted == 17U + 20U); // Capacity is the burst of 20 less the refill during GrantTtl; 2 s are reserved ahead.
     slots[slot.value] = SlotRecord{Self, Epoch{9}, Other, Epoch{5}};
-    const SlotFacts facts{Self, &slots, {Self, Other}};
-    after.update(facts, Instant(1'000'000));
+    const SlotSnapshot snapshot{Self, &slots, {Self, Other}};
+    after.update(snapshot, Instant(1'000'000));
     BOOST_TEST((after.admit(customer, 1, Instant(1'000'000), lease).state == AdmissionState::NotYet));
-    const auto wanted = after.slotOwnerships.wanted(facts, Instant(1'000'000));
-    BOOST_REQUIRE(wanted.size() == 1U);
-    const auto levels = before.giveUp(slot, Epoch{5}, {customer}, Instant(1'000'000));
+    const auto pending = after.slotOwnerships.pendingHandovers(snapshot, Instant(1'000'000));
+    BOOST_REQUIRE(pending.size() == 1U);
+    const auto levels = before.releaseSlot(slot, Epoch{5}, {customer}, Instant(1'000'000));
     BOOST_REQUIRE(levels.has_value());
-    after.adopt(wanted[0], *levels, Instant(1'000'000));
+    after.adopt(pending[0], *levels, Instant(1'000'000));
     BOOST_TEST((before.admit(customer, 1, Instant(1'000'000), lease).state == AdmissionState::NotOwner));
     // 2 s were reserved ahead and 1 s has passed, so 1 s more may be reserved.
     BOOST_TEST(after.admit(customer, 1000, Instant(1'000'000), lease).delays.size() == 10U);
@@ -119,7 +119,7 @@
     std::vector<SlotRecord> slots(SlotCount);
     slots[slotOf("t").value] = SlotRecord{Self, Epoch{5}, {}, Epoch{}};
     CustomerRateLimiter owner;
-    owner.update(SlotFacts{Self, &slots, {Self}}, Instant(0));
+    owner.update(SlotSnapshot{Self, &slots, {Self}}, Instant(0));
     const AdmissionDecision decision = owner.admit(customer, 1000, Instant(0), Instant(500'000));
     BOOST_TEST(decision.delays.size() == 17U + 5U);
     BOOST_TEST((decision.delays.back() <= Duration(500'000)));
