--- a/src/admission/customer_rate_limiter_base.h
+++ b/src/admission/customer_rate_limiter_base.h
@@ -27,7 +27,7 @@
 enum class AdmissionState : std::uint8_t {
     Decided, ///< Each request is either granted or over the rate.
     NotOwner, ///< Another entry owns the customer's slot.
-    NotYet, ///< This entry may not grant at present; ask again later.
+    NotYet, ///< This entry may not grant yet; retry later.
 };
 
 /** Decision on a batch of requests of one customer. */
--- a/src/admission/slot_ownership_base.h
+++ b/src/admission/slot_ownership_base.h
@@ -19,7 +19,7 @@
  * at different rates. */
 constexpr Duration FormerOwnerTimeout = std::chrono::milliseconds(3300);
 
-/** The part of an entry's view of the fleet that decides on ownership of slots. */
+/** Snapshot of the slots and leases in an entry's view of the fleet. */
 struct SlotSnapshot
 {
     EntryId self; ///< This entry.
@@ -80,7 +80,7 @@
      * @return false if this entry was not granting under @p epoch, so that the successor has to wait. */
     bool releaseSlot(SlotId slot, Epoch epoch, Instant now);
 
-    /** Time until this entry may grant for @p slot; nothing if it does not own the slot or has given it up. */
+    /** Time until this entry may grant for @p slot; nothing if it does not own the slot or has released it. */
     [[nodiscard]] std::optional<Duration> timeUntilGrants(SlotId slot, Instant now) const;
 
     [[nodiscard]] const SlotOwnership &at(SlotId slot) const
--- a/tests/unit/admission_tenure_test.cpp
+++ b/tests/unit/admission_tenure_test.cpp
@@ -77,7 +77,7 @@
     BOOST_TEST(this->startsInMs(1'000) == 2300);
 }
 
-BOOST_FIXTURE_TEST_CASE(no_grants_for_a_slot_that_was_given_up, Fixture)
+BOOST_FIXTURE_TEST_CASE(no_grants_for_a_released_slot, Fixture)
 {
     this->see(Self, 5, {}, 0, {Self, Other}, 0);
     BOOST_TEST(this->slotOwnerships.releaseSlot(Slot, Epoch{5}, Instant(1000)));
