--- a/bench/model/engine_model.h
+++ b/bench/model/engine_model.h
@@ -17,7 +17,7 @@
 namespace Chestnuthook::Model
 {
 
-/** Speeds and sizes of one engine. */
+/** Speed and capacity of one engine. */
 struct EngineShape
 {
     std::size_t batch = 16; ///< Maximum number of calls that run at the same time.
@@ -123,7 +123,7 @@
     }
 
     std::function<void(int)> onEvict; ///< Called with the number of each evicted program.
-    EngineShape shape; ///< Speeds and sizes.
+    EngineShape shape; ///< Speed and capacity.
     std::vector<EngineCall> running; ///< Calls in the batch.
     double used = 0; ///< Tokens in the cache.
     double evicted = 0; ///< Total of evicted tokens.
--- a/src/policy/endpoint_queue_base.h
+++ b/src/policy/endpoint_queue_base.h
@@ -25,8 +25,7 @@
 /** Calls that wait or run at one endpoint. Does no I/O and reads no clock.
  *
  * Invariants: start() lets at most limits.maxInFlight calls run, each id is in flight at most once, and start() lets
- * no other call run beside an isolated one. adopt() counts calls that run already beyond these
- * limits. */
+ * no other call run beside an isolated one. Calls added by adopt() may exceed these limits. */
 template<QueueOrder Order>
 class EndpointQueue
 {
--- a/src/policy/placement_func.h
+++ b/src/policy/placement_func.h
@@ -53,24 +53,24 @@
             totalDemand += demand.tokensPerSecond;
         }
     }
-    std::map<ModelId, double> wanted;
-    std::map<ModelId, double> present;
+    std::map<ModelId, double> targetReplicas;
+    std::map<ModelId, double> currentReplicas;
     for (const auto &[id, demand] : models) {
         const double share =
             totalDemand > 0 ? demand.tokensPerSecond / totalDemand : 1.0 / static_cast<double>(models.size());
-        wanted[id] = demand.declaredReplicas > 0 ? demand.declaredReplicas : std::max(1.0, freeEngines * share);
-        present[id] = 0;
+        targetReplicas[id] = demand.declaredReplicas > 0 ? demand.declaredReplicas : std::max(1.0, freeEngines * share);
+        currentReplicas[id] = 0;
     }
     for (const PlacedEngine &engine : engines) {
-        ++present[engine.model];
+        ++currentReplicas[engine.model];
     }
     const auto deficit = [&](const ModelId &id) {
-        const auto wantedReplicas = wanted.find(id);
-        return (wantedReplicas == wanted.end() ? 0 : wantedReplicas->second) - present[id];
+        const auto found = targetReplicas.find(id);
+        return (found == targetReplicas.end() ? 0 : found->second) - currentReplicas[id];
     };
     std::optional<ModelId> mostUndersupplied;
     std::optional<ModelId> mostOversupplied;
-    for (const auto &[id, count] : present) {
+    for (const auto &[id, count] : currentReplicas) {
         const bool canGiveUpEngine = count > 1 || !models.contains(id);
         mostUndersupplied = models.contains(id) && (!mostUndersupplied || deficit(id) > deficit(*mostUndersupplied))
             ? id
@@ -81,7 +81,7 @@
             : mostOversupplied;
     }
     const bool isWorthwhile = mostUndersupplied && mostOversupplied && *mostUndersupplied != *mostOversupplied
-        && (deficit(*mostUndersupplied) >= PlacementHysteresis || present[*mostUndersupplied] == 0)
+        && (deficit(*mostUndersupplied) >= PlacementHysteresis || currentReplicas[*mostUndersupplied] == 0)
         && deficit(*mostOversupplied) < 0;
     if (!isWorthwhile) {
         return std::nullopt;
--- a/tests/unit/admission_simulation_test.cpp
+++ b/tests/unit/admission_simulation_test.cpp
@@ -23,7 +23,7 @@
 constexpr Duration Ms = std::chrono::milliseconds(1);
 constexpr Duration SyncPeriod = 250 * Ms;
 constexpr Duration Freshness = 3000 * Ms;
-constexpr Duration AskTimeout = 500 * Ms;
+constexpr Duration RequestTimeout = 500 * Ms;
 constexpr Duration RunTime = 90'000 * Ms;
 
 /** An entry process, with the faults that the network and the operating system impose on it. */
@@ -251,9 +251,9 @@
 
     void load()
     {
-        const EntryPointer asker = this->entries[nextRandom(this->random) % this->entries.size()];
-        this->inEntry(this->now, asker, false, [this, asker]() {
-            this->ask(asker);
+        const EntryPointer requester = this->entries[nextRandom(this->random) % this->entries.size()];
+        this->inEntry(this->now, requester, false, [this, requester]() {
+            this->requestAdmission(requester);
         });
         // Bursts and quiet periods, so that buckets are both full and empty when faults occur.
         const bool isQuiet = (this->now.us / 7'000'000) % 3 == 0;
@@ -263,52 +263,52 @@
         });
     }
 
-    void ask(EntryPointer asker)
+    void requestAdmission(EntryPointer requester)
     {
-        if (asker->freshUntil <= this->now || asker->slots.empty()) {
+        if (requester->freshUntil <= this->now || requester->slots.empty()) {
             return;
         }
-        const EntryId owner = asker->slots[slotOf(this->customer.id.text).value].owner;
+        const EntryId owner = requester->slots[slotOf(this->customer.id.text).value].owner;
         if (this->rules == Rules::BucketPerEntry) {
-            this->requestFromOwnBucket(asker);
+            this->requestFromOwnBucket(requester);
             return;
         }
-        const Instant askedAt = this->now;
+        const Instant requestedAt = this->now;
         for (const EntryPointer &entry : this->entries) {
-            if (entry->id != owner || (owner != asker->id && this->now < asker->isolatedUntil)) {
+            if (entry->id != owner || (owner != requester->id && this->now < requester->isolatedUntil)) {
                 continue;
             }
-            const bool remote = entry != asker;
+            const bool remote = entry != requester;
             this->inEntry(this->now + (remote ? this->latency() : Duration(0)), entry, remote, [=, this]() {
                 const AdmissionDecision decision = entry->owner.admit(this->customer, 1, this->now, entry->freshUntil);
-                this->inEntry(this->now + (remote ? this->latency() : Duration(0)), asker, remote, [=, this]() {
-                    this->take(asker, decision, askedAt);
+                this->inEntry(this->now + (remote ? this->latency() : Duration(0)), requester, remote, [=, this]() {
+                    this->useGrant(requester, decision, requestedAt);
                 });
             });
         }
     }
 
-    void take(EntryPointer asker, const AdmissionDecision &decision, Instant askedAt)
+    void useGrant(EntryPointer requester, const AdmissionDecision &decision, Instant requestedAt)
     {
         if (decision.delays.empty()) {
             this->refused += decision.state == AdmissionState::Decided;
             return;
         }
-        const bool timedOut = this->now > askedAt + AskTimeout;
+        const bool timedOut = this->now > requestedAt + RequestTimeout;
         if (timedOut) {
             return;
         }
         const Duration delay = decision.delays.front();
-        this->inEntry(this->now + delay, asker, false, [this, askedAt, delay]() {
-            if (this->now <= askedAt + delay + GrantTtl) {
+        this->inEntry(this->now + delay, requester, false, [this, requestedAt, delay]() {
+            if (this->now <= requestedAt + delay + GrantTtl) {
                 this->used.push_back(this->now);
             }
         });
     }
 
-    void requestFromOwnBucket(const EntryPointer &asker)
+    void requestFromOwnBucket(const EntryPointer &requester)
     {
-        const auto [bucket, added] = this->ownBuckets.try_emplace(asker->id, this->now);
+        const auto [bucket, added] = this->ownBuckets.try_emplace(requester->id, this->now);
         bucket->second.declare(this->customer.ratePerSecond, this->customer.burst, this->now);
         if (added) {
             bucket->second.fill();
