--- a/fuzz/log_record_fuzz.cpp
+++ b/fuzz/log_record_fuzz.cpp
@@ -13,7 +13,7 @@
 {
     RaftRestored restored;
     std::size_t at = 0;
-    while (const auto found = findRecord(bytes, at)) {
+    while (const auto found = parseRecord(bytes, at)) {
         Fuzz::require(found->payload.data() >= bytes.data() + at);
         Fuzz::require(found->payload.data() + found->payload.size() <= bytes.data() + bytes.size());
         if (!takeRecord(restored, found->payload)) {
@@ -40,7 +40,7 @@
     std::string file;
     appendRecord(file, 0, input.substr(2));
     file[data[0] % file.size()] ^= static_cast<char>(data[1]);
-    const auto found = findRecord(file, 0);
+    const auto found = parseRecord(file, 0);
     Fuzz::require(data[1] == 0 ? found && found->payload == input.substr(2) : !found);
     walk(file);
     return 0;
--- a/src/client/control_client_base.cpp
+++ b/src/client/control_client_base.cpp
@@ -38,7 +38,7 @@
     }
 }
 
-void ControlClient::turnToNext()
+void ControlClient::switchToNextMember()
 {
     this->leave(this->current);
 }
--- a/src/client/control_client_base.h
+++ b/src/client/control_client_base.h
@@ -51,7 +51,7 @@
     [[nodiscard]] kj::Promise<Result<void>> changeMember(std::string id, std::string address, bool remove);
 
     /** Leaves the current member for the next one. */
-    void turnToNext();
+    void switchToNextMember();
 
 private:
     /** A command under way; the same through all tries, so that it takes effect once. */
--- a/src/consensus/log_record_func.cpp
+++ b/src/consensus/log_record_func.cpp
@@ -87,7 +87,7 @@
     bytes.append(payload);
 }
 
-std::optional<FoundRecord> findRecord(std::string_view bytes, std::size_t at)
+std::optional<ParsedRecord> parseRecord(std::string_view bytes, std::size_t at)
 {
     if (at + RecordHeaderBytes > bytes.size()) {
         return std::nullopt;
@@ -104,7 +104,7 @@
     if (length == 0 || checksum32(payload) != numberAt<std::uint32_t>(header, ChecksumAt)) {
         return std::nullopt;
     }
-    return FoundRecord{numberAt<std::uint64_t>(header, BatchAt), payload};
+    return ParsedRecord{numberAt<std::uint64_t>(header, BatchAt), payload};
 }
 
 std::string baseRecord(std::uint64_t index, std::uint64_t term, std::uint64_t whole)
--- a/src/consensus/log_record_internal.h
+++ b/src/consensus/log_record_internal.h
@@ -14,7 +14,7 @@
 constexpr std::size_t RecordHeaderBytes = 20;
 
 /** Where a whole record lies in the bytes of a file. */
-struct FoundRecord
+struct ParsedRecord
 {
     std::uint64_t batch = 0; ///< Offset at which its batch began.
     std::string_view payload; ///< Its bytes.
@@ -26,7 +26,7 @@
 void appendRecord(std::string &bytes, std::uint64_t batch, std::string_view payload);
 
 /** The whole and undamaged record at @p at, or nothing. */
-[[nodiscard]] std::optional<FoundRecord> findRecord(std::string_view bytes, std::size_t at);
+[[nodiscard]] std::optional<ParsedRecord> parseRecord(std::string_view bytes, std::size_t at);
 
 /** @p whole is the size of a log that was written and synced before it took the place of an older one. */
 [[nodiscard]] std::string baseRecord(std::uint64_t index, std::uint64_t term, std::uint64_t whole);
--- a/src/consensus/raft_storage_base.cpp
+++ b/src/consensus/raft_storage_base.cpp
@@ -38,7 +38,7 @@
 bool laterBatchFollows(std::string_view bytes, std::size_t at)
 {
     for (std::size_t i = at + 1; i + RecordHeaderBytes <= bytes.size(); ++i) {
-        const auto record = findRecord(bytes, i);
+        const auto record = parseRecord(bytes, i);
         if (record && record->batch > at && record->batch <= i) {
             return true;
         }
@@ -62,7 +62,7 @@
     }
 }
 
-Result<void> RaftStorage::openIdentity(const std::string &dataFolder, const std::string &name)
+Result<void> RaftStorage::loadOrCreateIdentity(const std::string &dataFolder, const std::string &name)
 {
     this->folder = dataFolder;
     std::error_code error;
@@ -119,7 +119,7 @@
     if (!bytes || bytes->empty()) {
         return bytes ? Result<void>() : tl::unexpected(bytes.error());
     }
-    const auto record = findRecord(*bytes, FileHead.size());
+    const auto record = parseRecord(*bytes, FileHead.size());
     const bool known = bytes->compare(0, FileHead.size(), FileHead) == 0;
     if (!known || !record || !takeSnapshot(restored.snapshot, record->payload)) {
         return fail(ErrorKind::StorageCorrupt, this->folder + "/snapshot");
@@ -138,13 +138,13 @@
         return this->replaceLog(RaftCompaction{});
     }
     // Each log takes its place whole, with its base as first record.
-    const auto base = findRecord(*bytes, FileHead.size());
+    const auto base = parseRecord(*bytes, FileHead.size());
     const bool known = bytes->compare(0, FileHead.size(), FileHead) == 0;
     if (!known || !base || base->payload[0] != static_cast<char>(RecordKind::Base)) {
         return fail(ErrorKind::StorageCorrupt, path + " has no head of a known version");
     }
     std::size_t at = FileHead.size();
-    for (auto record = findRecord(*bytes, at); record; record = findRecord(*bytes, at)) {
+    for (auto record = parseRecord(*bytes, at); record; record = parseRecord(*bytes, at)) {
         if (!takeRecord(restored, record->payload)) {
             return fail(ErrorKind::StorageCorrupt, path + ": a record doesn't follow, byte " + std::to_string(at));
         }
--- a/src/consensus/raft_storage_base.h
+++ b/src/consensus/raft_storage_base.h
@@ -43,7 +43,7 @@
         return this->folderIdentity;
     }
     /** Makes the identity of @p name where the folder has none. Errors: StorageFailed. */
-    [[nodiscard]] Result<void> openIdentity(const std::string &dataFolder, const std::string &name);
+    [[nodiscard]] Result<void> loadOrCreateIdentity(const std::string &dataFolder, const std::string &name);
 
     /** Persists @p batches in order by one write and one sync. Errors: StorageFailed. */
     [[nodiscard]] Result<void> write(const std::vector<RaftActions> &batches);
--- a/src/consensus/replica_node_base.cpp
+++ b/src/consensus/replica_node_base.cpp
@@ -76,7 +76,7 @@
 
 Result<void> ReplicaNode::open(const std::string &folder)
 {
-    Result<void> done = this->storage.openIdentity(folder, this->settings.name);
+    Result<void> done = this->storage.loadOrCreateIdentity(folder, this->settings.name);
     if (!done) {
         return done;
     }
@@ -117,10 +117,10 @@
 
 kj::Promise<Result<std::string>> ReplicaNode::awaitCommit(std::uint64_t index)
 {
-    auto pair = kj::newPromiseAndFulfiller<LateResult<std::string>>();
+    auto pair = kj::newPromiseAndFulfiller<BoxedResult<std::string>>();
     this->pending[index] = Pending{this->term(), kj::mv(pair.fulfiller)};
     this->flushSoon();
-    return pair.promise.then([](LateResult<std::string> &&result) {
+    return pair.promise.then([](BoxedResult<std::string> &&result) {
         return std::move(*result);
     });
 }
@@ -131,10 +131,10 @@
     if (!id) {
         return Result<void>(this->notLeader());
     }
-    auto pair = kj::newPromiseAndFulfiller<LateResult<void>>();
+    auto pair = kj::newPromiseAndFulfiller<BoxedResult<void>>();
     this->reads[*id] = kj::mv(pair.fulfiller);
     this->flushSoon();
-    return pair.promise.then([](LateResult<void> &&result) {
+    return pair.promise.then([](BoxedResult<void> &&result) {
         return std::move(*result);
     });
 }
@@ -252,9 +252,10 @@
         return;
     }
     if (waiting->second.term == entry.term) {
-        waiting->second.fulfiller->fulfill(late(Result<std::string>(std::move(reply))));
+        waiting->second.fulfiller->fulfill(boxResult(Result<std::string>(std::move(reply))));
     } else {
-        waiting->second.fulfiller->fulfill(late(Result<std::string>(this->notLeader()))); // Replaced: it never commits.
+        waiting->second.fulfiller->fulfill(
+            boxResult(Result<std::string>(this->notLeader()))); // Replaced: it never commits.
     }
     this->pending.erase(waiting);
 }
@@ -290,7 +291,7 @@
         if (waiting == this->reads.end()) {
             continue;
         }
-        waiting->second->fulfill(late(read.index == 0 ? Result<void>(this->notLeader()) : Result<void>()));
+        waiting->second->fulfill(boxResult(read.index == 0 ? Result<void>(this->notLeader()) : Result<void>()));
         this->reads.erase(waiting);
     }
 }
@@ -313,8 +314,8 @@
     }
     if (!this->leads && this->isLeader()) {
         this->leads = true;
-        if (this->onLead) {
-            this->onLead();
+        if (this->onBecameLeader) {
+            this->onBecameLeader();
         }
     }
 }
@@ -327,8 +328,8 @@
             this->pending[index] = kj::mv(waiting);
             continue;
         }
-        waiting.fulfiller->fulfill(
-            late(Result<std::string>(fail(ErrorKind::NoQuorum, "the leader was lost before the commit was known"))));
+        waiting.fulfiller->fulfill(boxResult(
+            Result<std::string>(fail(ErrorKind::NoQuorum, "the leader was lost before the commit was known"))));
     }
 }
 
--- a/src/consensus/replica_node_base.h
+++ b/src/consensus/replica_node_base.h
@@ -56,10 +56,10 @@
 /** A result on its way to a waiter. It stands on the heap, because the compiler takes a Result within a promise of kj
  * for one that may be uninitialized. */
 template<typename T>
-using LateResult = std::unique_ptr<Result<T>>;
+using BoxedResult = std::unique_ptr<Result<T>>;
 
 template<typename T>
-[[nodiscard]] LateResult<T> late(Result<T> result)
+[[nodiscard]] BoxedResult<T> boxResult(Result<T> result)
 {
     return std::make_unique<Result<T>>(std::move(result));
 }
@@ -117,7 +117,7 @@
     }
 
     /** Called when this member has become a leader in the sense of `isLeader`. */
-    std::function<void()> onLead;
+    std::function<void()> onBecameLeader;
 
     bool dropTraffic = false; ///< Test hook: nothing goes to or comes from other members.
 
@@ -131,7 +131,7 @@
     struct Pending
     {
         std::uint64_t term = 0; ///< Of the entry; another term there means that it was replaced.
-        kj::Own<kj::PromiseFulfiller<LateResult<std::string>>> fulfiller; ///< For the proposer.
+        kj::Own<kj::PromiseFulfiller<BoxedResult<std::string>>> fulfiller; ///< For the proposer.
     };
 
     kj::Promise<Result<std::string>> awaitCommit(std::uint64_t index);
@@ -161,13 +161,13 @@
     std::unique_ptr<RaftCore> core; ///< Set by `open`.
     MemberLinks links; ///< To the other members.
     std::map<std::uint64_t, Pending> pending; ///< By index.
-    std::map<std::uint64_t, kj::Own<kj::PromiseFulfiller<LateResult<void>>>> reads; ///< By id of the read.
+    std::map<std::uint64_t, kj::Own<kj::PromiseFulfiller<BoxedResult<void>>>> reads; ///< By id of the read.
     std::map<std::string, std::string> replies; ///< First replies by request id; part of the replicated state.
     std::deque<std::pair<std::uint64_t, std::string>> replyOrder; ///< Index and request id, oldest first.
     std::uint64_t applied = 0; ///< Index of the last entry applied.
     RaftRole seenRole = RaftRole::Follower; ///< To tell changes.
     std::uint64_t seenTerm = 0; ///< To tell changes.
-    bool leads = false; ///< As onLead was told.
+    bool leads = false; ///< As onBecameLeader was told.
     bool flushPlanned = false; ///< A flush runs at the end of this turn of the loop.
     bool founding = false; ///< Questions to the other members are under way.
     TimerSubscription ticking; ///< Runs the core's ticks.
--- a/src/control/control_service_base.cpp
+++ b/src/control/control_service_base.cpp
@@ -260,8 +260,8 @@
                 return;
             }
             writeHybridTime(result.initTime());
-            this->member.leases.heard(id,
-                HeardEntry{
+            this->member.leases.recordContact(id,
+                EntryContact{
                     this->member.loop.timers().now(), request.getInForceRevision(), request.getHaveIndex(), Epoch{}});
             auto delta = result.initDelta();
             this->member.fleet.machine.writeDelta(request.getHaveIndex(), delta.initDelta());
@@ -288,7 +288,7 @@
             entry.getEntry().setDataCentre(row.record.dataCentre.text);
             const bool draining = row.record.state == EntryState::Draining;
             entry.getEntry().setState(draining ? Wire::EntryState::DRAINING : Wire::EntryState::LIVE);
-            if (const HeardEntry *heard = this->member.leases.find(id)) {
+            if (const EntryContact *heard = this->member.leases.find(id)) {
                 entry.setInForceRevision(heard->inForceRevision);
                 entry.setHaveIndex(heard->haveIndex);
                 entry.setHeardMsAgo(
@@ -310,7 +310,7 @@
     , testHooks(testHooks)
     , loop(loop)
 {
-    this->node.onLead = [this]() {
+    this->node.onBecameLeader = [this]() {
         this->leases.beginTerm(this->fleet.machine, this->loop.timers().now());
     };
 }
@@ -332,7 +332,7 @@
 {
     const auto now = this->loop.timers().now();
     const bool work = this->node.isLeader()
-        && (!this->leases.expired(this->fleet.machine, now).empty()
+        && (!this->leases.markExpired(this->fleet.machine, now).empty()
             || this->fleet.machine.hasExpiredStrikes(wallMsNow()));
     if (!work || this->confirming) {
         return;
@@ -349,7 +349,7 @@
 
 void ControlMember::expireConfirmed()
 {
-    for (const EntryRecord &entry : this->leases.expired(this->fleet.machine, this->loop.timers().now())) {
+    for (const EntryRecord &entry : this->leases.markExpired(this->fleet.machine, this->loop.timers().now())) {
         logEvent(EventKind::LeaseExpired, {{"entry", entry.id.text}, {"epoch", std::to_string(entry.epoch.value)}});
         this->loop.detach(this->fleet.propose(endLeaseCommand(entry)).ignoreResult());
     }
--- a/src/control/lease_keeper_base.cpp
+++ b/src/control/entry_lease_tracker_base.cpp
@@ -1,25 +1,25 @@
-/** @file lease_keeper_base.cpp  Expiry of entries' leases at the leader. */
-#include "control/lease_keeper_base.h"
+/** @file entry_lease_tracker_base.cpp  Expiry of entries' leases at the leader. */
+#include "control/entry_lease_tracker_base.h"
 
 namespace Chestnuthook
 {
 
-void LeaseKeeper::beginTerm(const FleetState &state, Instant now)
+void EntryLeaseTracker::beginTerm(const FleetState &state, Instant now)
 {
     this->entries.clear();
     for (const auto &[id, row] : state.entries.all()) {
         if (!row.removed) {
-            this->entries[id] = HeardEntry{now, 0, 0, Epoch{}};
+            this->entries[id] = EntryContact{now, 0, 0, Epoch{}};
         }
     }
 }
 
-void LeaseKeeper::heard(const EntryId &entry, HeardEntry said)
+void EntryLeaseTracker::recordContact(const EntryId &entry, EntryContact said)
 {
     this->entries[entry] = said;
 }
 
-std::vector<EntryRecord> LeaseKeeper::expired(const FleetState &state, Instant now)
+std::vector<EntryRecord> EntryLeaseTracker::markExpired(const FleetState &state, Instant now)
 {
     std::vector<EntryRecord> found;
     for (const auto &[id, row] : state.entries.all()) {
@@ -27,10 +27,10 @@
             this->entries.erase(id);
             continue;
         }
-        const auto known = this->entries.try_emplace(id, HeardEntry{now, 0, 0, Epoch{}}).first;
+        const auto known = this->entries.try_emplace(id, EntryContact{now, 0, 0, Epoch{}}).first;
         const Epoch ending = known->second.ending;
         if (ending.value != 0 && ending != row.record.epoch) {
-            known->second = HeardEntry{now, 0, 0, Epoch{}}; // A new lease since.
+            known->second = EntryContact{now, 0, 0, Epoch{}}; // A new lease since.
         }
         if (now - known->second.heard > LeasePeriod + LeaseMargin) {
             known->second.ending = row.record.epoch;
@@ -40,13 +40,13 @@
     return found;
 }
 
-bool LeaseKeeper::isEnding(const EntryId &entry, Epoch epoch) const
+bool EntryLeaseTracker::isEnding(const EntryId &entry, Epoch epoch) const
 {
-    const HeardEntry *heard = this->find(entry);
+    const EntryContact *heard = this->find(entry);
     return heard != nullptr && epoch.value != 0 && heard->ending == epoch;
 }
 
-const HeardEntry *LeaseKeeper::find(const EntryId &entry) const
+const EntryContact *EntryLeaseTracker::find(const EntryId &entry) const
 {
     const auto found = this->entries.find(entry);
     return found == this->entries.end() ? nullptr : &found->second;
--- a/src/control/lease_keeper_base.h
+++ b/src/control/entry_lease_tracker_base.h
@@ -1,5 +1,5 @@
-/** @file lease_keeper_base.h  The leader's record of when each entry was last heard. Lease renewals are not replicated;
- * only grants and ends are. A new leader gives every lease a whole period from when it began to lead. */
+/** @file entry_lease_tracker_base.h  The leader's record of when each entry was last heard. Lease renewals are not
+ * replicated; only grants and ends are. A new leader gives every lease a whole period from when it began to lead. */
 #pragma once
 
 #include <cstdint>
@@ -20,7 +20,7 @@
 constexpr Duration LeaseMargin = std::chrono::milliseconds(300);
 
 /** What the leader knows of one entry beyond its replicated record. */
-struct HeardEntry
+struct EntryContact
 {
     Instant heard; ///< When its last request arrived.
     std::uint64_t inForceRevision = 0; ///< Revision that it said to serve under.
@@ -28,26 +28,26 @@
     Epoch ending; ///< Lease whose end was proposed; 0 for none.
 };
 
-class LeaseKeeper
+class EntryLeaseTracker
 {
 public:
     /** Called when this member begins to lead: all leases get a whole period from @p now. */
     void beginTerm(const FleetState &state, Instant now);
 
     /** An entry's request arrived. */
-    void heard(const EntryId &entry, HeardEntry said);
+    void recordContact(const EntryId &entry, EntryContact said);
 
-    /** Whether @p entry's lease of @p epoch may not be renewed any more: once `expired` has named it, its end is under
-     * way, and a successor relies on nothing being granted under it. */
+    /** Whether @p entry's lease of @p epoch may not be renewed any more: once `markExpired` has named it, its end is
+     * under way, and a successor relies on nothing being granted under it. */
     [[nodiscard]] bool isEnding(const EntryId &entry, Epoch epoch) const;
 
     /** Leases whose holders have stopped acting on them; they are ending from now on. */
-    [[nodiscard]] std::vector<EntryRecord> expired(const FleetState &state, Instant now);
+    [[nodiscard]] std::vector<EntryRecord> markExpired(const FleetState &state, Instant now);
 
-    [[nodiscard]] const HeardEntry *find(const EntryId &entry) const;
+    [[nodiscard]] const EntryContact *find(const EntryId &entry) const;
 
 private:
-    std::map<EntryId, HeardEntry> entries; ///< By entry; those without a lease are dropped.
+    std::map<EntryId, EntryContact> entries; ///< By entry; those without a lease are dropped.
 };
 
 } // namespace Chestnuthook
--- a/src/control/main.cpp
+++ b/src/control/main.cpp
@@ -158,7 +158,7 @@
 
 int main(int argc, char **argv)
 {
-    const DaemonStart start = startDaemon(argc, argv, withFleetSecurity(Settings));
+    const DaemonStart start = startDaemon(argc, argv, withFleetSecuritySettings(Settings));
     if (start.exitCode) {
         return *start.exitCode;
     }
--- a/src/ctl/main.cpp
+++ b/src/ctl/main.cpp
@@ -60,7 +60,7 @@
 
 int main(int argc, char **argv)
 {
-    SettingsOutcome outcome = loadSettings(argc, argv, withFleetSecurity(Settings), {"CHESTNUTHOOK_SECRET"});
+    SettingsOutcome outcome = loadSettings(argc, argv, withFleetSecuritySettings(Settings), {"CHESTNUTHOOK_SECRET"});
     if (!outcome.help.empty()) {
         outcome.help.insert(0, ctlVerbsHelp());
     }
--- a/src/deployment/deployment_member_base.cpp
+++ b/src/deployment/deployment_member_base.cpp
@@ -108,7 +108,7 @@
 
 void DeploymentMember::start()
 {
-    this->node.onLead = [this]() {
+    this->node.onBecameLeader = [this]() {
         this->beginLeading();
     };
     this->node.start();
@@ -393,46 +393,46 @@
     return rule == customers.end() ? 0 : this->credits.take(this->loop.timers().now(), *rule, wish);
 }
 
-kj::Promise<LateResult<void>> DeploymentMember::putConfiguration(std::string document)
+kj::Promise<BoxedResult<void>> DeploymentMember::putConfiguration(std::string document)
 {
     const Result<ConfigurationPtr> read = this->readDocument(document);
     if (!read) {
         logEvent(EventKind::RequestRejected, {{"what", "configuration"}, {"error", errorText(read.error())}});
-        return late(Result<void>(tl::unexpected(read.error())));
+        return boxResult(Result<void>(tl::unexpected(read.error())));
     }
     const std::uint64_t version = (*read)->version;
     return this->group.propose(configurationCommand(version, document))
         .then([this, version](Result<std::string> &&done) {
             if (!done) {
-                return late(Result<void>(tl::unexpected(done.error())));
+                return boxResult(Result<void>(tl::unexpected(done.error())));
             }
             logEvent(EventKind::ConfigurationApplied,
                 {{"version", std::to_string(version)},
                     {"in_force", std::to_string(this->group.machine.configurationVersion)}});
             this->refreshConfiguration();
             this->notifyWatchers();
-            return late(Result<void>());
+            return boxResult(Result<void>());
         });
 }
 
-kj::Promise<LateResult<std::string>> DeploymentMember::readConfiguration()
+kj::Promise<BoxedResult<std::string>> DeploymentMember::readConfiguration()
 {
     return this->group.confirmRead().then([this](Result<void> &&confirmed) {
         if (!confirmed) {
-            return late(Result<std::string>(tl::unexpected(confirmed.error())));
+            return boxResult(Result<std::string>(tl::unexpected(confirmed.error())));
         }
         if (this->group.machine.configurationVersion == 0) {
-            return late(Result<std::string>(fail(ErrorKind::NotFound, "no configuration was accepted yet")));
+            return boxResult(Result<std::string>(fail(ErrorKind::NotFound, "no configuration was accepted yet")));
         }
-        return late(Result<std::string>(this->group.machine.document));
+        return boxResult(Result<std::string>(this->group.machine.document));
     });
 }
 
-kj::Promise<LateResult<void>> DeploymentMember::startRetire(std::string instance)
+kj::Promise<BoxedResult<void>> DeploymentMember::startRetire(std::string instance)
 {
-    return this->group.confirmRead().then([this, instance](Result<void> &&confirmed) -> kj::Promise<LateResult<void>> {
+    return this->group.confirmRead().then([this, instance](Result<void> &&confirmed) -> kj::Promise<BoxedResult<void>> {
         if (!confirmed) {
-            return late(Result<void>(tl::unexpected(confirmed.error())));
+            return boxResult(Result<void>(tl::unexpected(confirmed.error())));
         }
         const DeploymentState &state = this->group.machine;
         const auto candidates =
@@ -441,33 +441,34 @@
             return one.member.name == instance;
         });
         if (!isKnown) {
-            return late(Result<void>(fail(ErrorKind::NotFound, "no history instance is called " + instance)));
+            return boxResult(Result<void>(fail(ErrorKind::NotFound, "no history instance is called " + instance)));
         }
         if (!state.retiring.contains(instance) && !mayRetire(state.view, candidates, instance)) {
-            return late(Result<void>(fail(ErrorKind::Conflict, "too few instances would remain without " + instance)));
+            return boxResult(
+                Result<void>(fail(ErrorKind::Conflict, "too few instances would remain without " + instance)));
         }
         return this->group.propose(retireCommand(instance)).then([instance](Result<std::string> &&done) {
             logEvent(EventKind::DrainStarted, {{"instance", instance}, {"committed", done ? "yes" : "unknown"}});
-            return late(done ? Result<void>() : Result<void>(tl::unexpected(done.error())));
+            return boxResult(done ? Result<void>() : Result<void>(tl::unexpected(done.error())));
         });
     });
 }
 
-kj::Promise<LateResult<RetireState>> DeploymentMember::retireState(std::string instance)
+kj::Promise<BoxedResult<RetireState>> DeploymentMember::retireState(std::string instance)
 {
     return this->group.confirmRead().then([this, instance](Result<void> &&confirmed) {
         if (!confirmed) {
-            return late(Result<RetireState>(tl::unexpected(confirmed.error())));
+            return boxResult(Result<RetireState>(tl::unexpected(confirmed.error())));
         }
         const DeploymentState &state = this->group.machine;
         if (!state.retiring.contains(instance)) {
-            return late(Result<RetireState>(fail(ErrorKind::NotFound, instance + " is not being emptied")));
+            return boxResult(Result<RetireState>(fail(ErrorKind::NotFound, instance + " is not being emptied")));
         }
         const auto members = state.view.members();
         const bool holds = std::any_of(members.begin(), members.end(), [&instance](const HistoryMember &member) {
             return member.name == instance;
         });
-        return late(Result<RetireState>(holds ? RetireState::Running : RetireState::Completed));
+        return boxResult(Result<RetireState>(holds ? RetireState::Running : RetireState::Completed));
     });
 }
 
--- a/src/deployment/deployment_member_base.h
+++ b/src/deployment/deployment_member_base.h
@@ -51,13 +51,13 @@
 
     /** Accepts @p document where it is valid; a version that is not higher changes nothing.
      * Errors: BadDeclaration, NotLeader, NoQuorum. */
-    [[nodiscard]] kj::Promise<LateResult<void>> putConfiguration(std::string document);
+    [[nodiscard]] kj::Promise<BoxedResult<void>> putConfiguration(std::string document);
     /** The newest configuration, confirmed by a quorum. Errors: NotLeader, NoQuorum, NotFound where there is none. */
-    [[nodiscard]] kj::Promise<LateResult<std::string>> readConfiguration();
+    [[nodiscard]] kj::Promise<BoxedResult<std::string>> readConfiguration();
     /** Errors: NotLeader, NoQuorum, NotFound, Conflict where too few would remain. */
-    [[nodiscard]] kj::Promise<LateResult<void>> startRetire(std::string instance);
+    [[nodiscard]] kj::Promise<BoxedResult<void>> startRetire(std::string instance);
     /** Errors: NotLeader, NoQuorum, NotFound. */
-    [[nodiscard]] kj::Promise<LateResult<RetireState>> retireState(std::string instance);
+    [[nodiscard]] kj::Promise<BoxedResult<RetireState>> retireState(std::string instance);
 
     /** Address for operators of the leading member; empty where unknown or this one. */
     [[nodiscard]] std::string leaderForOperators() const;
--- a/src/entry/fleet_follower_base.cpp
+++ b/src/entry/fleet_follower_base.cpp
@@ -206,7 +206,7 @@
     const auto result = response.getResult().getDelta();
     const std::uint64_t before = this->state.index();
     if (!this->state.applyDelta(result.getDelta())) {
-        this->client.turnToNext();
+        this->client.switchToNextMember();
         return;
     }
     const bool newLease = this->self.epoch.value != result.getEpoch();
--- a/src/history/history_log_base.cpp
+++ b/src/history/history_log_base.cpp
@@ -73,7 +73,7 @@
     }
     const std::string bytes(std::istreambuf_iterator<char>(stream), {});
     std::size_t at = 0;
-    for (auto record = findRecord(bytes, at); record; record = findRecord(bytes, at)) {
+    for (auto record = parseRecord(bytes, at); record; record = parseRecord(bytes, at)) {
         segment.lastExpiryMs = std::max(segment.lastExpiryMs, onRecord(record->payload));
         at += RecordHeaderBytes + record->payload.size();
     }
--- a/src/history/history_member_base.cpp
+++ b/src/history/history_member_base.cpp
@@ -143,7 +143,7 @@
 Result<void> HistoryMemberDaemon::open(const std::string &folder, const std::string &name)
 {
     RaftStorage identityFile;
-    Result<void> done = identityFile.openIdentity(folder, name);
+    Result<void> done = identityFile.loadOrCreateIdentity(folder, name);
     if (!done) {
         return done;
     }
--- a/src/rpc/fleet_security_base.cpp
+++ b/src/rpc/fleet_security_base.cpp
@@ -64,7 +64,7 @@
 
 } // namespace
 
-std::vector<SettingCheck> withFleetSecurity(std::vector<SettingCheck> settings)
+std::vector<SettingCheck> withFleetSecuritySettings(std::vector<SettingCheck> settings)
 {
     const std::string_view remedy =
         "name a readable PEM file, or leave out all three of fleet_certificate, _key and _trust";
--- a/src/rpc/fleet_security_base.h
+++ b/src/rpc/fleet_security_base.h
@@ -24,7 +24,7 @@
 };
 
 /** Rows for the settings of each binary that talks to the fleet: fleet_certificate, fleet_key, fleet_trust. */
-[[nodiscard]] std::vector<SettingCheck> withFleetSecurity(std::vector<SettingCheck> settings);
+[[nodiscard]] std::vector<SettingCheck> withFleetSecuritySettings(std::vector<SettingCheck> settings);
 
 /** The files that the command line names. */
 [[nodiscard]] FleetSecurityFiles fleetSecurityFiles();
--- a/tests/unit/admission_simulation_test.cpp
+++ b/tests/unit/admission_simulation_test.cpp
@@ -10,7 +10,7 @@
 #include <capnp/message.h>
 
 #include "admission/bucket_owner_base.h"
-#include "control/lease_keeper_base.h"
+#include "control/entry_lease_tracker_base.h"
 #include "policy/random_func.h"
 #include "rpc/message_func.h"
 
@@ -185,7 +185,7 @@
         if (this->leases.isEnding(entry->id, lease)) {
             return;
         }
-        this->leases.heard(entry->id, HeardEntry{this->now, 0, 0, Epoch{}});
+        this->leases.recordContact(entry->id, EntryContact{this->now, 0, 0, Epoch{}});
         std::vector<SlotRecord> slots(SlotCount);
         for (const auto &[slot, row] : this->fleet.slots.all()) {
             slots[slot.value] = row.record;
@@ -231,7 +231,7 @@
 
     void expire()
     {
-        for (const EntryRecord &entry : this->leases.expired(this->fleet, this->now)) {
+        for (const EntryRecord &entry : this->leases.markExpired(this->fleet, this->now)) {
             // The end is committed some time after it was proposed; syncs may arrive in between.
             const auto commit = static_cast<std::int64_t>(nextRandom(this->random) % 1000);
             this->at(this->now + commit * Ms, [this, entry]() {
@@ -361,7 +361,7 @@
     Instant now; ///< Virtual time.
     TenantDeclaration tenant; ///< The one that is watched.
     FleetState fleet; ///< As committed.
-    LeaseKeeper leases; ///< Of the leader.
+    EntryLeaseTracker leases; ///< Of the leader.
     std::vector<EntryPointer> entries; ///< Those not killed.
     std::multimap<Instant, std::function<void()>> events; ///< What happens next.
     std::map<EntryId, TokenBucket> ownBuckets; ///< For Rules::BucketPerEntry.
--- a/tests/unit/log_storage_test.cpp
+++ b/tests/unit/log_storage_test.cpp
@@ -188,7 +188,7 @@
     const TemporaryFolder folder;
     const auto identity = [&]() {
         RaftStorage storage;
-        BOOST_REQUIRE(storage.openIdentity(folder.path + "/data", "member").has_value());
+        BOOST_REQUIRE(storage.loadOrCreateIdentity(folder.path + "/data", "member").has_value());
         return storage.identity();
     };
     const std::string first = identity();
