--- a/src/control/control_service_base.h
+++ b/src/control/control_service_base.h
@@ -4,7 +4,7 @@
 #include <string>
 
 #include "consensus/replica_group_base.h"
-#include "control/entry_lease_tracker_base.h"
+#include "control/lease_keeper_base.h"
 #include "core/timer_base.h"
 #include "fleet/fleet_base.h"
 #include "program/journal_base.h"
@@ -33,7 +33,7 @@
     ReplicaNode node; ///< The log that both machines stand on.
     ReplicaGroup<FleetState> fleet; ///< Declarations, keys, leases, slots.
     ReplicaGroup<JournalState> journal; ///< Programs.
-    EntryLeaseTracker leases; ///< Meaningful while this member leads.
+    LeaseKeeper leases; ///< Meaningful while this member leads.
     const std::string memberId; ///< Shown to operators.
     const bool testHooks; ///< Whether setTestFault is served.
     bool dropEntries = false; ///< Test hook: entries and tools get no answer.
--- a/src/control/entry_lease_tracker_base.cpp
+++ b/src/control/lease_keeper_base.cpp
@@ -1,10 +1,10 @@
-/** @file entry_lease_tracker_base.cpp  Expiry of entries' leases at the leader. */
-#include "control/entry_lease_tracker_base.h"
+/** @file lease_keeper_base.cpp  Expiry of entries' leases at the leader. */
+#include "control/lease_keeper_base.h"
 
 namespace Chestnuthook
 {
 
-void EntryLeaseTracker::beginTerm(const FleetState &state, Instant now)
+void LeaseKeeper::beginTerm(const FleetState &state, Instant now)
 {
     this->entries.clear();
     for (const auto &[id, row] : state.entries.all()) {
@@ -14,12 +14,12 @@
     }
 }
 
-void EntryLeaseTracker::recordContact(const EntryId &entry, EntryContact said)
+void LeaseKeeper::recordContact(const EntryId &entry, EntryContact said)
 {
     this->entries[entry] = said;
 }
 
-std::vector<EntryRecord> EntryLeaseTracker::markExpired(const FleetState &state, Instant now)
+std::vector<EntryRecord> LeaseKeeper::markExpired(const FleetState &state, Instant now)
 {
     std::vector<EntryRecord> found;
     for (const auto &[id, row] : state.entries.all()) {
@@ -40,13 +40,13 @@
     return found;
 }
 
-bool EntryLeaseTracker::isEnding(const EntryId &entry, Epoch epoch) const
+bool LeaseKeeper::isEnding(const EntryId &entry, Epoch epoch) const
 {
     const EntryContact *heard = this->find(entry);
     return heard != nullptr && epoch.value != 0 && heard->ending == epoch;
 }
 
-const EntryContact *EntryLeaseTracker::find(const EntryId &entry) const
+const EntryContact *LeaseKeeper::find(const EntryId &entry) const
 {
     const auto found = this->entries.find(entry);
     return found == this->entries.end() ? nullptr : &found->second;
--- a/src/control/entry_lease_tracker_base.h
+++ b/src/control/lease_keeper_base.h
@@ -1,4 +1,4 @@
-/** @file entry_lease_tracker_base.h  The leader's record of when each entry was last heard. Lease renewals are not
+/** @file lease_keeper_base.h  The leader's record of when each entry was last heard. Lease renewals are not
  * replicated; only grants and ends are. A new leader gives every lease a whole period from when it began to lead. */
 #pragma once
 
@@ -28,7 +28,7 @@
     Epoch ending; ///< Lease whose end was proposed; 0 for none.
 };
 
-class EntryLeaseTracker
+class LeaseKeeper
 {
 public:
     /** Called when this member begins to lead: all leases get a whole period from @p now. */
