--- a/src/client/control_client_base.cpp
+++ b/src/client/control_client_base.cpp
@@ -1,4 +1,4 @@
-/** @file control_client_base.cpp  Calls to the control members. */
+/** @file control_client_base.cpp  RPC calls to the control members. */
 #include "client/control_client_base.h"
 
 #include <utility>
@@ -14,16 +14,16 @@
 namespace
 {
 
-constexpr auto SubmitTime = 5000 * kj::MILLISECONDS; ///< Covers a leader that is lost and the election after it.
+constexpr auto SubmitTimeout = 5000 * kj::MILLISECONDS; ///< Covers the loss of a leader and the next election.
 constexpr auto RetryDelay = 50 * kj::MILLISECONDS;
 constexpr auto CallTimeout = 1500 * kj::MILLISECONDS;
 constexpr auto SyncTimeout = 800 * kj::MILLISECONDS; ///< Leaves time for two more members within the freshness bound.
 constexpr unsigned MaxRedirects = 2;
-constexpr auto ChangeTimeout = 90 * kj::SECONDS;
-constexpr unsigned ChangeTries = 20;
+constexpr auto ChangeMemberTimeout = 90 * kj::SECONDS;
+constexpr unsigned MaxChangeAttempts = 20;
 constexpr std::size_t RequestIdBytes = 8;
 
-bool mayRetry(const Error &error)
+bool isRetryable(const Error &error)
 {
     return error.kind == ErrorKind::NotLeader || error.kind == ErrorKind::NoQuorum;
 }
@@ -40,11 +40,11 @@
 
 void ControlClient::switchToNextMember()
 {
-    this->leave(this->current);
+    this->switchAwayFrom(this->current);
 }
 
-/** Turns away from @p member, unless another call has done so before. */
-void ControlClient::leave(std::size_t member)
+/** Resets the link to @p member and switches to the next one, unless another call has switched already. */
+void ControlClient::switchAwayFrom(std::size_t member)
 {
     this->links[member]->reset();
     if (member == this->current) {
@@ -52,8 +52,9 @@
     }
 }
 
-/** Turns to the leader that @p member named, else to the next member. @return whether a leader was named. */
-bool ControlClient::follow(std::size_t member, const std::string &leader)
+/** Switches to @p leader as named by @p member, or to the next member if it named no other one. @return whether it
+ * named another member. */
+bool ControlClient::followRedirect(std::size_t member, const std::string &leader)
 {
     for (std::size_t i = 0; i < this->links.size(); ++i) {
         if (this->links[i]->peerAddress() == leader && i != member) {
@@ -62,7 +63,7 @@
         }
     }
     const bool added = !leader.empty() && this->links[member]->peerAddress() != leader;
-    if (added) { // A member that joined after we were started.
+    if (added) { // The leader joined the group after this client was created.
         this->links.push_back(std::make_unique<RpcLink>(this->context, leader));
         this->current = this->links.size() - 1;
     } else if (member == this->current) {
@@ -101,7 +102,7 @@
 kj::Promise<Result<std::string>> ControlClient::submit(Wire::Group group, std::string command)
 {
     return this->trySubmit(std::make_shared<Submission>(
-        Submission{group, std::move(command), randomHex(RequestIdBytes), this->context.timer.now() + SubmitTime}));
+        Submission{group, std::move(command), randomHex(RequestIdBytes), this->context.timer.now() + SubmitTimeout}));
 }
 
 kj::Promise<Result<std::string>> ControlClient::trySubmit(std::shared_ptr<Submission> submission)
@@ -123,17 +124,17 @@
                     return Result<std::string>(bytesOf(result.getReply()));
                 }
                 const Error error = readFailure(result.getFailure());
-                if (mayRetry(error)) {
-                    this->follow(member, textOf(result.getLeader()));
+                if (isRetryable(error)) {
+                    this->followRedirect(member, textOf(result.getLeader()));
                 }
                 return Result<std::string>(tl::unexpected(error));
             },
             [this, member](kj::Exception &&exception) {
-                this->leave(member);
+                this->switchAwayFrom(member);
                 return Result<std::string>(fail(ErrorKind::NoQuorum, exception.getDescription().cStr(), Ran::No));
             })
         .then([this, submission](Result<std::string> &&reply) -> kj::Promise<Result<std::string>> {
-            if (reply || !mayRetry(reply.error()) || this->context.timer.now() >= submission->deadline) {
+            if (reply || !isRetryable(reply.error()) || this->context.timer.now() >= submission->deadline) {
                 return kj::mv(reply);
             }
             return this->context.timer.afterDelay(RetryDelay).then([this, submission]() {
@@ -142,28 +143,29 @@
         });
 }
 
-kj::Promise<SyncResponse> ControlClient::sync(const EntryRecord &entry, std::uint64_t haveIndex, std::uint64_t inForce)
+kj::Promise<SyncResponse> ControlClient::sync(
+    const EntryRecord &entry, std::uint64_t haveIndex, std::uint64_t inForceRevision)
 {
-    return this->trySync(std::make_shared<EntryRecord>(entry), haveIndex, inForce, MaxRedirects);
+    return this->trySync(std::make_shared<EntryRecord>(entry), haveIndex, inForceRevision, MaxRedirects);
 }
 
 kj::Promise<SyncResponse> ControlClient::trySync(
-    std::shared_ptr<EntryRecord> entry, std::uint64_t haveIndex, std::uint64_t inForce, unsigned redirectsLeft)
+    std::shared_ptr<EntryRecord> entry, std::uint64_t haveIndex, std::uint64_t inForceRevision, unsigned redirectsLeft)
 {
     const std::size_t member = this->current;
-    auto sent = this->control(member).then([entry, haveIndex, inForce](Wire::Control::Client &&control) {
+    auto sent = this->control(member).then([entry, haveIndex, inForceRevision](Wire::Control::Client &&control) {
         auto request = control.syncRequest();
         auto params = request.initRequest();
         params.setHaveIndex(haveIndex);
-        params.setInForceRevision(inForce);
+        params.setInForceRevision(inForceRevision);
         writeHybridTime(params.initTime());
-        auto wire = params.initEntry();
-        wire.setId(entry->id.text);
-        wire.setEpoch(entry->epoch.value);
-        wire.setAddress(entry->address);
-        wire.setRpcAddress(entry->rpcAddress);
-        wire.setDataCentre(entry->dataCentre.text);
-        wire.setState(entry->state == EntryState::Draining ? Wire::EntryState::DRAINING : Wire::EntryState::LIVE);
+        auto wireEntry = params.initEntry();
+        wireEntry.setId(entry->id.text);
+        wireEntry.setEpoch(entry->epoch.value);
+        wireEntry.setAddress(entry->address);
+        wireEntry.setRpcAddress(entry->rpcAddress);
+        wireEntry.setDataCentre(entry->dataCentre.text);
+        wireEntry.setState(entry->state == EntryState::Draining ? Wire::EntryState::DRAINING : Wire::EntryState::LIVE);
         return request.send();
     });
     return this->context.timer.timeoutAfter(SyncTimeout, kj::mv(sent))
@@ -174,23 +176,24 @@
                 if (!result.isFailure()) {
                     return kj::mv(response);
                 }
-                const bool named = this->follow(member, textOf(result.getLeader()));
-                KJ_REQUIRE(named && redirectsLeft > 0, "the control member can't confirm",
+                const bool redirected = this->followRedirect(member, textOf(result.getLeader()));
+                KJ_REQUIRE(redirected && redirectsLeft > 0, "the control member can't confirm",
                     textOf(result.getFailure().getWhat()).c_str());
-                return this->trySync(entry, haveIndex, inForce, redirectsLeft - 1);
+                return this->trySync(entry, haveIndex, inForceRevision, redirectsLeft - 1);
             },
             [this, member](kj::Exception &&exception) -> kj::Promise<SyncResponse> {
-                this->leave(member);
+                this->switchAwayFrom(member);
                 return kj::mv(exception);
             });
 }
 
 kj::Promise<Result<void>> ControlClient::changeMember(std::string id, std::string address, bool remove)
 {
-    return this->tryChange(std::move(id), std::move(address), remove, ChangeTries);
+    return this->tryChangeMember(std::move(id), std::move(address), remove, MaxChangeAttempts);
 }
 
-kj::Promise<Result<void>> ControlClient::tryChange(std::string id, std::string address, bool remove, unsigned triesLeft)
+kj::Promise<Result<void>> ControlClient::tryChangeMember(
+    std::string id, std::string address, bool remove, unsigned attemptsLeft)
 {
     const std::size_t member = this->current;
     auto sent = this->control(member).then([id, address, remove](Wire::Control::Client &&control) {
@@ -200,7 +203,7 @@
         request.setRemove(remove);
         return request.send();
     });
-    return this->context.timer.timeoutAfter(ChangeTimeout, kj::mv(sent))
+    return this->context.timer.timeoutAfter(ChangeMemberTimeout, kj::mv(sent))
         .then(
             [this, member](auto &&response) {
                 const auto result = response.getResult();
@@ -208,30 +211,30 @@
                     return Result<void>();
                 }
                 const Error error = readFailure(result.getFailure());
-                if (mayRetry(error)) {
-                    this->follow(member, textOf(result.getLeader()));
+                if (isRetryable(error)) {
+                    this->followRedirect(member, textOf(result.getLeader()));
                 }
                 return Result<void>(tl::unexpected(error));
             },
             [this, member](kj::Exception &&exception) {
-                this->leave(member);
+                this->switchAwayFrom(member);
                 return Result<void>(fail(ErrorKind::NoQuorum, exception.getDescription().cStr()));
             })
         .then([=, this](Result<void> &&done) -> kj::Promise<Result<void>> {
-            // A member that is added may have been started just now, and not listen yet.
-            const bool again = !done && (mayRetry(done.error()) || done.error().kind == ErrorKind::NotReady);
-            if (!again || triesLeft <= 1) {
+            // The member to be added may have been started just now and not be listening yet.
+            const bool shouldRetry = !done && (isRetryable(done.error()) || done.error().kind == ErrorKind::NotReady);
+            if (!shouldRetry || attemptsLeft <= 1) {
                 return kj::mv(done);
             }
             return this->context.timer.afterDelay(RetryDelay * 4).then([=, this]() {
-                return this->tryChange(id, address, remove, triesLeft - 1);
+                return this->tryChangeMember(id, address, remove, attemptsLeft - 1);
             });
         });
 }
 
 kj::Promise<std::optional<kj::Own<ReadFleetResponse>>> ControlClient::readFleet()
 {
-    using Answer = std::optional<kj::Own<ReadFleetResponse>>;
+    using MaybeResponse = std::optional<kj::Own<ReadFleetResponse>>;
     const std::size_t member = this->current;
     auto sent = this->control(member).then([](Wire::Control::Client &&control) {
         return control.readFleetRequest().send();
@@ -240,14 +243,14 @@
         .then(
             [this, member](ReadFleetResponse &&response) {
                 if (response.getResult().isFailure()) {
-                    this->follow(member, textOf(response.getResult().getLeader()));
-                    return Answer();
+                    this->followRedirect(member, textOf(response.getResult().getLeader()));
+                    return MaybeResponse();
                 }
-                return Answer(kj::heap<ReadFleetResponse>(kj::mv(response)));
+                return MaybeResponse(kj::heap<ReadFleetResponse>(kj::mv(response)));
             },
             [this, member](kj::Exception && /*exception*/) {
-                this->leave(member);
-                return Answer();
+                this->switchAwayFrom(member);
+                return MaybeResponse();
             });
 }
 
@@ -269,7 +272,7 @@
                 const auto result = response.getResult();
                 observeHybridTime(result.getTime());
                 if (result.isFailure()) {
-                    this->follow(member, textOf(result.getLeader()));
+                    this->followRedirect(member, textOf(result.getLeader()));
                     return Result<std::vector<ProgramRecord>>(tl::unexpected(readFailure(result.getFailure())));
                 }
                 std::vector<ProgramRecord> programs;
@@ -279,7 +282,7 @@
                 return Result<std::vector<ProgramRecord>>(std::move(programs));
             },
             [this, member](kj::Exception &&exception) {
-                this->leave(member);
+                this->switchAwayFrom(member);
                 return Result<std::vector<ProgramRecord>>(fail(ErrorKind::NoQuorum, exception.getDescription().cStr()));
             });
 }
