--- a/src/rpc/gate_func.cpp
+++ b/src/rpc/authentication_func.cpp
@@ -1,5 +1,5 @@
-/** @file gate_func.cpp  Challenge and response of the gate. */
-#include "rpc/gate_func.h"
+/** @file authentication_func.cpp  Challenge-response authentication. */
+#include "rpc/authentication_func.h"
 
 #include <algorithm>
 #include <string_view>
@@ -30,12 +30,12 @@
 }
 
 std::string proofOf(
-    std::string_view side, const std::string &secret, const std::string &client, const std::string &server)
+    std::string_view side, const std::string &secret, const std::string &clientNonce, const std::string &serverNonce)
 {
-    return hmacSha256(secret, std::string(side) + client + server);
+    return hmacSha256(secret, std::string(side) + clientNonce + serverNonce);
 }
 
-/** Waits for the client's proof; one per challenge. */
+/** Checks the client's proof; created for each challenge. */
 class ProverServer final : public Wire::Prover::Server
 {
 public:
@@ -58,7 +58,7 @@
 
 private:
     std::string expected; ///< The only proof that is accepted.
-    OfferedServices services; ///< Handed out after the proof.
+    OfferedServices services; ///< Returned once the proof is accepted.
 };
 
 class GateServer final : public Wire::Gate::Server
@@ -72,45 +72,46 @@
 
     kj::Promise<void> challenge(ChallengeContext context) override
     {
-        const std::string client = textOf(context.getParams().getNonce());
-        KJ_REQUIRE(client.size() == NonceBytes * 2, "unauthenticated: malformed nonce");
-        const std::string server = randomHex(NonceBytes);
+        const std::string clientNonce = textOf(context.getParams().getNonce());
+        KJ_REQUIRE(clientNonce.size() == NonceBytes * 2, "unauthenticated: malformed nonce");
+        const std::string serverNonce = randomHex(NonceBytes);
         const std::string secret = this->security.secrets().front();
         auto results = context.getResults();
-        results.setNonce(dataOf(server));
-        results.setProof(dataOf(proofOf(ServerSide, secret, client, server)));
-        results.setProver(kj::heap<ProverServer>(proofOf(ClientSide, secret, client, server), this->services));
+        results.setNonce(dataOf(serverNonce));
+        results.setProof(dataOf(proofOf(ServerSide, secret, clientNonce, serverNonce)));
+        results.setProver(
+            kj::heap<ProverServer>(proofOf(ClientSide, secret, clientNonce, serverNonce), this->services));
         return kj::READY_NOW;
     }
 
 private:
-    FleetSecurity &security; ///< Outlives the gate.
-    OfferedServices services; ///< Handed out after a proof.
+    FleetSecurity &security; ///< Outlives this.
+    OfferedServices services; ///< Returned to authenticated clients.
 };
 
 } // namespace
 
-Wire::Gate::Client makeGate(FleetSecurity &security, OfferedServices services)
+Wire::Gate::Client makeAuthenticationGate(FleetSecurity &security, OfferedServices services)
 {
     return kj::heap<GateServer>(security, std::move(services));
 }
 
-kj::Promise<capnp::Response<Wire::Prover::ProveResults>> passGate(
-    Wire::Gate::Client gate, std::vector<std::string> secrets, std::string party)
+kj::Promise<capnp::Response<Wire::Prover::ProveResults>> authenticateToPeer(
+    Wire::Gate::Client gate, std::vector<std::string> secrets, std::string localName)
 {
-    const std::string client = randomHex(NonceBytes);
+    const std::string clientNonce = randomHex(NonceBytes);
     auto request = gate.challengeRequest();
-    request.setParty(party);
-    request.setNonce(dataOf(client));
-    return request.send().then([client, secrets = std::move(secrets)](auto &&response) {
-        const std::string server = textOf(response.getNonce());
-        const std::string proved = textOf(response.getProof());
-        const auto shared = std::find_if(secrets.begin(), secrets.end(), [&](const std::string &secret) {
-            return constantTimeEquals(proved, proofOf(ServerSide, secret, client, server));
+    request.setParty(localName);
+    request.setNonce(dataOf(clientNonce));
+    return request.send().then([clientNonce, secrets = std::move(secrets)](auto &&response) {
+        const std::string serverNonce = textOf(response.getNonce());
+        const std::string serverProof = textOf(response.getProof());
+        const auto sharedSecret = std::find_if(secrets.begin(), secrets.end(), [&](const std::string &secret) {
+            return constantTimeEquals(serverProof, proofOf(ServerSide, secret, clientNonce, serverNonce));
         });
-        KJ_REQUIRE(shared != secrets.end(), "unauthenticated: the fleet secrets differ");
+        KJ_REQUIRE(sharedSecret != secrets.end(), "unauthenticated: the fleet secrets differ");
         auto proof = response.getProver().proveRequest();
-        proof.setProof(dataOf(proofOf(ClientSide, *shared, client, server)));
+        proof.setProof(dataOf(proofOf(ClientSide, *sharedSecret, clientNonce, serverNonce)));
         return proof.send();
     });
 }
--- a/src/rpc/control_loop_base.cpp
+++ b/src/rpc/control_loop_base.cpp
@@ -1,4 +1,4 @@
-/** @file control_loop_base.cpp  Runs the event loop and the timer service of the control thread. */
+/** @file control_loop_base.cpp  Runs the event loop, the signal handlers and the timers of the control thread. */
 #include "rpc/control_loop_base.h"
 
 #include <csignal>
@@ -12,15 +12,15 @@
 {
 
 /** Resolution of the timer service. */
-constexpr auto TickPeriod = 10 * kj::MILLISECONDS;
+constexpr auto TickInterval = 10 * kj::MILLISECONDS;
 
 } // namespace
 
-ControlLoop::ControlLoop(const std::string &secret, std::string party)
+ControlLoop::ControlLoop(const std::string &secret, std::string localName)
     : io(kj::setupAsyncIo())
     , executor(kj::getCurrentThreadExecutor())
     , rpcContext{this->io.provider->getNetwork(), this->io.provider->getTimer(),
-          FleetSecurity(secret, fleetSecurityFiles()), std::move(party)}
+          FleetSecurity(secret, fleetSecurityFiles()), std::move(localName)}
     , tasks(this->failures)
     , stopped(nullptr)
 {
@@ -50,10 +50,10 @@
 
 void ControlLoop::onTerminate(std::function<void()> action)
 {
-    this->tasks.add(this->waitForSignal(std::move(action)));
+    this->tasks.add(this->waitForTermination(std::move(action)));
 }
 
-kj::Promise<void> ControlLoop::waitForSignal(std::function<void()> action)
+kj::Promise<void> ControlLoop::waitForTermination(std::function<void()> action)
 {
     auto terminate = this->io.unixEventPort.onSignal(SIGTERM).ignoreResult();
     auto interrupt = this->io.unixEventPort.onSignal(SIGINT).ignoreResult();
@@ -82,13 +82,13 @@
 
 kj::Promise<void> ControlLoop::tick()
 {
-    return this->io.provider->getTimer().afterDelay(TickPeriod).then([this]() {
+    return this->io.provider->getTimer().afterDelay(TickInterval).then([this]() {
         this->timerService.runDue();
         return this->tick();
     });
 }
 
-void ControlLoop::LogFailures::taskFailed(kj::Exception &&exception)
+void ControlLoop::FailureLogger::taskFailed(kj::Exception &&exception)
 {
     logEvent(EventKind::ChildFailed, {{"child", "background"}, {"error", exception.getDescription().cStr()}});
 }
--- a/src/rpc/control_loop_base.h
+++ b/src/rpc/control_loop_base.h
@@ -1,5 +1,5 @@
-/** @file control_loop_base.h  The control thread of a daemon: Cap'n Proto's event loop, the timer service, signals, and
- * the way in for traffic threads. */
+/** @file control_loop_base.h  Event loop of a daemon's control thread: RPC, timers, signals and calls from traffic
+ * threads. */
 #pragma once
 
 #include <string>
@@ -19,21 +19,22 @@
     return duration.count() * kj::MICROSECONDS;
 }
 
-/** Made and run on one thread, the control thread. */
+/** Created and run on one thread, the control thread. Only `call` is for other threads. */
 class ControlLoop
 {
 public:
-    ControlLoop(const std::string &secret, std::string party);
+    ControlLoop(const std::string &secret, std::string localName);
     ControlLoop(const ControlLoop &) = delete;
     ControlLoop &operator=(const ControlLoop &) = delete;
 
-    /** Blocks SIGTERM and SIGINT for all later threads; call it first in main. */
+    /** Blocks SIGTERM, SIGINT and SIGHUP in all threads started later, so that the event loop receives them, and
+     * ignores SIGPIPE. Call it first in main. */
     static void captureSignals();
 
     /** Runs until `stop` is called. */
     void run();
 
-    /** Ends `run`; for the control thread. */
+    /** Ends `run`. For the control thread only. */
     void stop();
 
     /** Calls @p action on the first SIGTERM or SIGINT. */
@@ -43,21 +44,21 @@
     void onReload(std::function<void()> action);
 
     /** Runs @p function on the control thread and waits for its result, or for that of the promise it returns. For
-     * traffic threads only. @throws kj::Exception where it fails or the loop has ended. */
+     * traffic threads only. @throws kj::Exception if it fails or the loop has ended. */
     template<typename Function>
     auto call(Function &&function) const
     {
         return this->executor.executeSync(std::forward<Function>(function));
     }
 
-    /** Runs the loop until @p promise is done; for tools, in place of `run`. @throws kj::Exception where it fails. */
+    /** Runs the loop until @p promise is done; for tools, in place of `run`. @throws kj::Exception if it fails. */
     template<typename T>
     T wait(kj::Promise<T> promise)
     {
         return promise.wait(this->io.waitScope);
     }
 
-    /** Runs @p promise in the background; a failure of it is logged. */
+    /** Runs @p promise in the background and logs its failure. */
     void detach(kj::Promise<void> promise);
 
     [[nodiscard]] TimerService &timers()
@@ -75,22 +76,22 @@
 
 private:
     kj::Promise<void> tick();
-    kj::Promise<void> waitForSignal(std::function<void()> action);
+    kj::Promise<void> waitForTermination(std::function<void()> action);
     kj::Promise<void> waitForReload(std::function<void()> action);
 
-    struct LogFailures final : kj::TaskSet::ErrorHandler
+    struct FailureLogger final : kj::TaskSet::ErrorHandler
     {
         void taskFailed(kj::Exception &&exception) override;
     };
 
     kj::AsyncIoContext io; ///< The event loop.
-    const kj::Executor &executor; ///< Way in for other threads.
-    SteadyTimer timerService; ///< Run by `tick`.
-    RpcContext rpcContext; ///< For links and ports.
-    LogFailures failures; ///< Logs failed background work.
-    kj::TaskSet tasks; ///< Background work.
+    const kj::Executor &executor; ///< Runs functions for other threads.
+    SteadyTimer timerService; ///< Timers, fired by `tick`.
+    RpcContext rpcContext; ///< Shared by all links and ports.
+    FailureLogger failures; ///< Logs failed background work.
+    kj::TaskSet tasks; ///< Background promises.
     kj::Own<kj::PromiseFulfiller<void>> stopFulfiller; ///< Ends `run`.
-    kj::Promise<void> stopped; ///< Waited for by `run`.
+    kj::Promise<void> stopped; ///< Resolved by `stop`; `run` waits for it.
 };
 
 } // namespace Chestnuthook
--- a/src/rpc/fleet_security_base.cpp
+++ b/src/rpc/fleet_security_base.cpp
@@ -1,4 +1,4 @@
-/** @file fleet_security_base.cpp  Reads secrets and certificates. */
+/** @file fleet_security_base.cpp  Loads secrets and certificates. */
 #include "rpc/fleet_security_base.h"
 
 #include <filesystem>
@@ -12,9 +12,9 @@
 
 #include "observe/log_func.h"
 
-DEFINE_string(fleet_certificate, "", "PEM file with this process's certificate; empty: traffic is not encrypted.");
-DEFINE_string(fleet_key, "", "PEM file with the key of fleet_certificate.");
-DEFINE_string(fleet_trust, "", "PEM file with the authorities whose certificates the fleet's processes have.");
+DEFINE_string(fleet_certificate, "", "PEM file with this process's certificate; if empty, traffic is not encrypted.");
+DEFINE_string(fleet_key, "", "PEM file with the private key of fleet_certificate.");
+DEFINE_string(fleet_trust, "", "PEM file with the certificate authorities of the fleet's processes.");
 
 namespace Chestnuthook
 {
@@ -22,8 +22,8 @@
 namespace
 {
 
-constexpr auto LookPeriod = std::chrono::seconds(1);
-constexpr std::string_view CertificateEnd = "-----END CERTIFICATE-----";
+constexpr auto FileCheckInterval = std::chrono::seconds(1);
+constexpr std::string_view CertificateEndMarker = "-----END CERTIFICATE-----";
 
 std::string readText(const std::string &path)
 {
@@ -31,7 +31,7 @@
     return {std::istreambuf_iterator<char>(stream), {}};
 }
 
-std::string timeOf(const std::string &path)
+std::string modificationTimeOf(const std::string &path)
 {
     std::error_code error;
     const auto time = std::filesystem::last_write_time(path, error);
@@ -48,15 +48,15 @@
     };
 }
 
-std::vector<kj::TlsCertificate> certificatesIn(const std::string &text)
+std::vector<kj::TlsCertificate> parseCertificates(const std::string &text)
 {
     std::vector<kj::TlsCertificate> found;
     std::size_t begin = 0;
-    for (std::size_t end = text.find(CertificateEnd); end != std::string::npos;
-         end = text.find(CertificateEnd, begin)) {
-        end += CertificateEnd.size();
-        const std::string one = text.substr(begin, end - begin) + "\n";
-        found.emplace_back(kj::StringPtr(one.c_str(), one.size()));
+    for (std::size_t end = text.find(CertificateEndMarker); end != std::string::npos;
+         end = text.find(CertificateEndMarker, begin)) {
+        end += CertificateEndMarker.size();
+        const std::string certificate = text.substr(begin, end - begin) + "\n";
+        found.emplace_back(kj::StringPtr(certificate.c_str(), certificate.size()));
         begin = end;
     }
     return found;
@@ -77,20 +77,20 @@
 FleetSecurityFiles fleetSecurityFiles()
 {
     FleetSecurityFiles files{"", FLAGS_fleet_certificate, FLAGS_fleet_key, FLAGS_fleet_trust};
-    gflags::GetCommandLineOption("secret_file", &files.secret); // Left empty in a binary without that flag.
+    gflags::GetCommandLineOption("secret_file", &files.secret); // Stays empty in a binary without that flag.
     return files;
 }
 
 FleetSecurity::FleetSecurity(const std::string &secret, FleetSecurityFiles given)
     : files(std::move(given))
-    , secretMark(timeOf(this->files.secret))
-    , looked(std::chrono::steady_clock::now())
+    , secretFileTime(modificationTimeOf(this->files.secret))
+    , lastCheck(std::chrono::steady_clock::now())
 {
-    this->accepted.emplace_back();
-    this->takeSecrets(secret);
+    this->acceptedSecrets.emplace_back();
+    this->updateSecrets(secret);
 }
 
-void FleetSecurity::takeSecrets(const std::string &text)
+void FleetSecurity::updateSecrets(const std::string &text)
 {
     std::vector<std::string> found;
     std::istringstream lines(text);
@@ -103,15 +103,15 @@
             found.push_back(line);
         }
     }
-    if (!found.empty()) { // A file that is being written keeps the secrets in use.
-        this->accepted = std::move(found);
+    if (!found.empty()) { // A file without a secret is probably being rewritten: keep the current ones.
+        this->acceptedSecrets = std::move(found);
     }
 }
 
 const std::vector<std::string> &FleetSecurity::secrets()
 {
-    this->refresh();
-    return this->accepted;
+    this->reloadChangedFiles();
+    return this->acceptedSecrets;
 }
 
 std::shared_ptr<kj::TlsContext> FleetSecurity::tls()
@@ -119,31 +119,32 @@
     if (this->files.certificate.empty()) {
         return nullptr;
     }
-    if (this->context == nullptr) {
+    if (this->tlsContext == nullptr) {
         this->loadTls();
     }
-    this->refresh();
-    return this->context;
+    this->reloadChangedFiles();
+    return this->tlsContext;
 }
 
-void FleetSecurity::refresh()
+void FleetSecurity::reloadChangedFiles()
 {
     const auto now = std::chrono::steady_clock::now();
-    if (now - this->looked < LookPeriod) {
+    if (now - this->lastCheck < FileCheckInterval) {
         return;
     }
-    this->looked = now;
-    const std::string secretTime = timeOf(this->files.secret);
-    if (!this->files.secret.empty() && secretTime != this->secretMark) {
-        this->secretMark = secretTime;
-        this->takeSecrets(readText(this->files.secret));
+    this->lastCheck = now;
+    const std::string secretTime = modificationTimeOf(this->files.secret);
+    if (!this->files.secret.empty() && secretTime != this->secretFileTime) {
+        this->secretFileTime = secretTime;
+        this->updateSecrets(readText(this->files.secret));
     }
-    const std::string tlsTime = timeOf(this->files.certificate) + timeOf(this->files.key) + timeOf(this->files.trust);
-    if (this->context != nullptr && tlsTime != this->tlsMark) {
+    const std::string tlsTime = modificationTimeOf(this->files.certificate) + modificationTimeOf(this->files.key)
+        + modificationTimeOf(this->files.trust);
+    if (this->tlsContext != nullptr && tlsTime != this->tlsFileTimes) {
         try {
             this->loadTls();
         } catch (const kj::Exception &exception) {
-            this->tlsMark = tlsTime; // Looked at again when the files change again.
+            this->tlsFileTimes = tlsTime; // Don't retry before the files change again.
             logEvent(EventKind::RequestRejected, {{"error", exception.getDescription().cStr()}});
         }
     }
@@ -151,21 +152,22 @@
 
 void FleetSecurity::loadTls()
 {
-    const std::string mark = timeOf(this->files.certificate) + timeOf(this->files.key) + timeOf(this->files.trust);
+    const std::string fileTimes = modificationTimeOf(this->files.certificate) + modificationTimeOf(this->files.key)
+        + modificationTimeOf(this->files.trust);
     const std::string certificate = readText(this->files.certificate);
     const std::string key = readText(this->files.key);
-    const std::vector<kj::TlsCertificate> trusted = certificatesIn(readText(this->files.trust));
+    const std::vector<kj::TlsCertificate> trusted = parseCertificates(readText(this->files.trust));
     KJ_REQUIRE(!trusted.empty(), "fleet_trust holds no certificate");
-    const kj::TlsKeypair pair{kj::TlsPrivateKey(kj::StringPtr(key.c_str(), key.size())),
+    const kj::TlsKeypair keypair{kj::TlsPrivateKey(kj::StringPtr(key.c_str(), key.size())),
         kj::TlsCertificate(kj::StringPtr(certificate.c_str(), certificate.size()))};
     kj::TlsContext::Options options;
     options.useSystemTrustStore = false;
     options.verifyClients = true;
     options.minVersion = kj::TlsVersion::TLS_1_2;
     options.trustedCertificates = kj::arrayPtr(trusted.data(), trusted.size());
-    options.defaultKeypair = pair;
-    this->context = std::make_shared<kj::TlsContext>(options);
-    this->tlsMark = mark;
+    options.defaultKeypair = keypair;
+    this->tlsContext = std::make_shared<kj::TlsContext>(options);
+    this->tlsFileTimes = fileTimes;
 }
 
 } // namespace Chestnuthook
--- a/src/rpc/message_func.cpp
+++ b/src/rpc/message_func.cpp
@@ -1,4 +1,4 @@
-/** @file message_func.cpp  Flat messages and errors on the wire. */
+/** @file message_func.cpp  Conversion of flat messages, errors and hybrid time. */
 #include "rpc/message_func.h"
 
 #include <cstring>
@@ -12,7 +12,8 @@
 namespace
 {
 
-/** A peer's clock that is further ahead is not followed, so that one wrong clock doesn't move all time lines. */
+/** A peer's time that is further ahead of the local clock is ignored, so that one wrong clock doesn't shift all
+ * timelines. */
 constexpr std::int64_t MaxClockLeadMs = 60'000;
 
 } // namespace
@@ -26,7 +27,7 @@
 
 FlatMessage::FlatMessage(std::string_view bytes)
 {
-    KJ_REQUIRE(bytes.size() % sizeof(capnp::word) == 0, "a message is made of whole words");
+    KJ_REQUIRE(bytes.size() % sizeof(capnp::word) == 0, "the size of a message is not a multiple of its word size");
     this->words = kj::heapArray<capnp::word>(bytes.size() / sizeof(capnp::word));
     if (!bytes.empty()) {
         std::memcpy(this->words.begin(), bytes.data(), bytes.size());
--- a/src/rpc/message_func.h
+++ b/src/rpc/message_func.h
@@ -1,4 +1,4 @@
-/** @file message_func.h  Between Cap'n Proto messages, bytes and our error type. */
+/** @file message_func.h  Conversions between Cap'n Proto messages, bytes and Error. */
 #pragma once
 
 #include <string>
@@ -14,14 +14,14 @@
 namespace Chestnuthook
 {
 
-/** Bytes of @p message in one flat segment table; the form in which commands are replicated and stored. */
+/** Serializes @p message as one flat array, the form in which commands are replicated and stored. */
 [[nodiscard]] std::string flatBytes(capnp::MessageBuilder &message);
 
-/** A message read from flat bytes; keeps its own aligned copy of them. */
+/** Reads a message from flat bytes, of which it keeps an aligned copy. */
 class FlatMessage
 {
 public:
-    /** @throws kj::Exception where the bytes are not a message. */
+    /** @throws kj::Exception if the bytes are not a message. */
     explicit FlatMessage(std::string_view bytes);
 
     template<typename Root>
@@ -35,15 +35,14 @@
     kj::Own<capnp::FlatArrayMessageReader> reader; ///< Reads `words`.
 };
 
-/** Writes @p error into a message. */
 void writeFailure(Wire::Failure::Builder builder, const Error &error);
 
 /** Reads an error from a message; an unknown code becomes Internal. */
 [[nodiscard]] Error readFailure(Wire::Failure::Reader reader);
 
-/** Writes this process's hybrid time into a message that is sent. */
+/** Stamps an outgoing message with this process's hybrid logical clock. */
 void writeHybridTime(Wire::HybridTime::Builder builder);
-/** Takes the hybrid time of a message that was received. */
+/** Advances this process's hybrid logical clock to the time of a received message. */
 void observeHybridTime(Wire::HybridTime::Reader reader);
 
 [[nodiscard]] inline std::string textOf(capnp::Text::Reader reader)
@@ -51,8 +50,8 @@
     return {reader.begin(), reader.size()};
 }
 
-/** @p text as a whole: the conversion that Cap'n Proto has for std::string stops at a NUL byte. The text outlives the
- * reader. */
+/** Returns a reader of the whole @p text, which must outlive it. Cap'n Proto's own conversion of std::string stops at
+ * a NUL byte. */
 [[nodiscard]] inline capnp::Text::Reader wireText(const std::string &text)
 {
     return {text.c_str(), text.size()};
--- a/src/rpc/rpc_link_base.cpp
+++ b/src/rpc/rpc_link_base.cpp
@@ -1,4 +1,4 @@
-/** @file rpc_link_base.cpp  Connecting, authenticating and accepting. */
+/** @file rpc_link_base.cpp  Connects, authenticates and accepts RPC connections. */
 #include "rpc/rpc_link_base.h"
 
 #include <utility>
@@ -9,14 +9,14 @@
 namespace
 {
 
-/** For a connection with its proofs of identity. */
+/** Limit for connecting, including TLS and authentication. */
 constexpr auto ConnectTimeout = 700 * kj::MILLISECONDS;
-/** For the socket alone, which the other machine's kernel answers. An opening packet that was lost, for instance
- * because the machine was about to start, is sent again only after a second; a new socket is quicker. */
-constexpr auto SocketTimeout = 150 * kj::MILLISECONDS;
-constexpr auto HandshakeTimeout = 3 * kj::SECONDS;
+/** Limit for the TCP handshake alone, which the kernel of the other instance answers. A SYN that was lost, for example
+ * because that instance was still starting, is retransmitted only after 1 s; a new socket is faster. */
+constexpr auto TcpConnectTimeout = 150 * kj::MILLISECONDS;
+constexpr auto TlsHandshakeTimeout = 3 * kj::SECONDS;
 
-/** Limits of one message from another process; a peer is authenticated, but may be broken. */
+/** Limit of one message from another process, which is authenticated but may be faulty. */
 constexpr std::uint64_t MaxMessageWords = 64ULL * 1024 * 1024 / 8;
 
 capnp::ReaderOptions readerOptions()
@@ -26,7 +26,7 @@
     return options;
 }
 
-/** One accepted connection; kept alive until it ends. */
+/** One accepted connection; destroyed when the other end disconnects. */
 struct AcceptedConnection
 {
     AcceptedConnection(
@@ -38,10 +38,10 @@
     {
     }
 
-    std::shared_ptr<kj::TlsContext> tls; ///< Of the stream; null where it is not encrypted.
-    kj::Own<kj::AsyncIoStream> stream; ///< The socket.
-    capnp::TwoPartyVatNetwork network; ///< Frames messages on it.
-    capnp::RpcSystem<capnp::rpc::twoparty::VatId> system; ///< Serves the gate.
+    std::shared_ptr<kj::TlsContext> tls; ///< TLS context of the stream; null if it is not encrypted.
+    kj::Own<kj::AsyncIoStream> stream; ///< The connected stream.
+    capnp::TwoPartyVatNetwork network; ///< Frames messages on the stream.
+    capnp::RpcSystem<capnp::rpc::twoparty::VatId> system; ///< Serves the bootstrap capability.
 };
 
 /** The accept loop of one port and the tasks of its connections. */
@@ -67,14 +67,14 @@
     }
 
 private:
-    /** Serves one connection to its end; a handshake that takes too long ends it. */
+    /** Serves one connection until it ends, or until its TLS handshake times out. */
     kj::Promise<void> serve(kj::Own<kj::AsyncIoStream> stream)
     {
         auto tls = this->context.security.tls();
         if (tls == nullptr) {
             return this->serveStream(nullptr, kj::mv(stream));
         }
-        auto handshake = this->context.timer.timeoutAfter(HandshakeTimeout, tls->wrapServer(kj::mv(stream)));
+        auto handshake = this->context.timer.timeoutAfter(TlsHandshakeTimeout, tls->wrapServer(kj::mv(stream)));
         return handshake.then([this, tls](kj::Own<kj::AsyncIoStream> &&encrypted) {
             return this->serveStream(tls, kj::mv(encrypted));
         });
@@ -89,12 +89,12 @@
 
     void taskFailed(kj::Exception && /*exception*/) override
     {
-        // A connection that ended with an error is gone like any other.
+        // A failed connection needs no other handling than a closed one.
     }
 
     RpcContext &context; ///< Outlives the port.
     kj::Own<kj::ConnectionReceiver> receiver; ///< The listening socket.
-    Wire::Gate::Client gate; ///< Bootstrap of each connection.
+    Wire::Gate::Client gate; ///< Bootstrap capability of each connection.
     kj::TaskSet tasks; ///< One task per connection.
 };
 
@@ -118,12 +118,12 @@
         return this->system.bootstrap(vat).castAs<Wire::Gate>();
     }
 
-    std::shared_ptr<kj::TlsContext> tls; ///< Of the stream; null where it is not encrypted.
-    kj::Own<kj::AsyncIoStream> stream; ///< The socket.
-    capnp::TwoPartyVatNetwork network; ///< Frames messages on it.
+    std::shared_ptr<kj::TlsContext> tls; ///< TLS context of the stream; null if it is not encrypted.
+    kj::Own<kj::AsyncIoStream> stream; ///< The connected stream.
+    capnp::TwoPartyVatNetwork network; ///< Frames messages on the stream.
     capnp::RpcSystem<capnp::rpc::twoparty::VatId> system; ///< Runs the calls.
-    OfferedServices offered; ///< Set once the gate is passed.
-    bool ready = false; ///< Whether the gate is passed.
+    OfferedServices offered; ///< Set once both sides are authenticated.
+    bool authenticated = false; ///< Whether both sides are authenticated.
 };
 
 RpcLink::RpcLink(RpcContext &context, std::string address)
@@ -132,7 +132,7 @@
 {
 }
 
-kj::Promise<RpcLink::SecuredStream> RpcLink::secure(kj::Own<kj::AsyncIoStream> stream)
+kj::Promise<RpcLink::SecuredStream> RpcLink::startTls(kj::Own<kj::AsyncIoStream> stream)
 {
     auto tls = this->context.security.tls();
     if (tls == nullptr) {
@@ -143,12 +143,12 @@
     });
 }
 
-kj::Promise<kj::Own<kj::AsyncIoStream>> RpcLink::connectSocket(kj::NetworkAddress &target)
+kj::Promise<kj::Own<kj::AsyncIoStream>> RpcLink::connectTcp(kj::NetworkAddress &target)
 {
-    return this->context.timer.timeoutAfter(SocketTimeout, target.connect())
+    return this->context.timer.timeoutAfter(TcpConnectTimeout, target.connect())
         .catch_([this, &target](kj::Exception &&exception) -> kj::Promise<kj::Own<kj::AsyncIoStream>> {
-            if (exception.getType() == kj::Exception::Type::OVERLOADED) { // Timed out.
-                return this->connectSocket(target);
+            if (exception.getType() == kj::Exception::Type::OVERLOADED) { // How kj reports a timeout.
+                return this->connectTcp(target);
             }
             return kj::mv(exception);
         });
@@ -158,28 +158,29 @@
 {
     return this->context.network.parseAddress(this->address)
         .then([this](kj::Own<kj::NetworkAddress> &&parsed) {
-            auto connected = this->connectSocket(*parsed);
+            auto connected = this->connectTcp(*parsed);
             return connected.attach(kj::mv(parsed));
         })
         .then([this](kj::Own<kj::AsyncIoStream> &&stream) {
-            return this->secure(kj::mv(stream));
+            return this->startTls(kj::mv(stream));
         })
         .then([this](SecuredStream &&secured) {
             this->connection = std::make_shared<Connection>(std::move(secured.tls), kj::mv(secured.stream));
-            return passGate(this->connection->gate(), this->context.security.secrets(), this->context.party);
+            return authenticateToPeer(
+                this->connection->gate(), this->context.security.secrets(), this->context.localName);
         })
         .then([this](capnp::Response<Wire::Prover::ProveResults> &&response) {
             KJ_REQUIRE(this->connection != nullptr, "the link was reset");
             auto offered = response.getServices();
             this->connection->offered =
                 OfferedServices{offered.getControl(), offered.getPeer(), offered.getDeployment()};
-            this->connection->ready = true;
+            this->connection->authenticated = true;
         });
 }
 
 kj::Promise<OfferedServices> RpcLink::services()
 {
-    if (this->connection != nullptr && this->connection->ready) {
+    if (this->connection != nullptr && this->connection->authenticated) {
         return OfferedServices(this->connection->offered);
     }
     if (this->connecting == nullptr) {
@@ -193,7 +194,7 @@
     return branch.then(
         [this]() -> kj::Promise<OfferedServices> {
             this->connecting = nullptr;
-            KJ_REQUIRE(this->connection != nullptr && this->connection->ready, "the link was reset");
+            KJ_REQUIRE(this->connection != nullptr && this->connection->authenticated, "the link was reset");
             return OfferedServices(this->connection->offered);
         },
         [this](kj::Exception &&exception) -> kj::Promise<OfferedServices> {
@@ -211,7 +212,8 @@
 kj::Promise<void> serveRpc(RpcContext &context, const std::string &address, OfferedServices services)
 {
     return context.network.parseAddress(address).then([&context, services = kj::mv(services)](auto &&parsed) mutable {
-        auto port = kj::heap<RpcPort>(context, parsed->listen(), makeGate(context.security, kj::mv(services)));
+        auto port =
+            kj::heap<RpcPort>(context, parsed->listen(), makeAuthenticationGate(context.security, kj::mv(services)));
         auto loop = port->acceptLoop();
         return loop.attach(kj::mv(port));
     });
--- a/src/rpc/rpc_link_base.h
+++ b/src/rpc/rpc_link_base.h
@@ -1,4 +1,5 @@
-/** @file rpc_link_base.h  One authenticated connection to another of our processes, made anew when it breaks. */
+/** @file rpc_link_base.h  Authenticated RPC connections between the processes of the fleet; a link reconnects
+ * when its connection breaks. */
 #pragma once
 
 #include <memory>
@@ -7,22 +8,22 @@
 #include <capnp/rpc-twoparty.h>
 #include <kj/async-io.h>
 
+#include "rpc/authentication_func.h"
 #include "rpc/control.capnp.h"
-#include "rpc/gate_func.h"
 
 namespace Chestnuthook
 {
 
-/** How to reach and authenticate to other processes; one per daemon. */
+/** Network, timer and credentials for connections to other processes; one per daemon. */
 struct RpcContext
 {
-    kj::Network &network; ///< Of the control thread.
-    kj::Timer &timer; ///< Of the control thread.
-    FleetSecurity security; ///< Secrets and certificates.
-    std::string party; ///< Who we are, for the other end's log.
+    kj::Network &network; ///< Network of the control thread.
+    kj::Timer &timer; ///< Timer of the control thread.
+    FleetSecurity security; ///< Secrets and certificates of this process.
+    std::string localName; ///< Name by which this process introduces itself to the other end.
 };
 
-/** A link to one address. All calls are for the control thread only. */
+/** Client connection to one address. Used on the control thread only. */
 class RpcLink
 {
 public:
@@ -30,11 +31,11 @@
     RpcLink(const RpcLink &) = delete;
     RpcLink &operator=(const RpcLink &) = delete;
 
-    /** The services behind the other end's gate; connects where needed. The promise fails where that takes longer than
-     * ConnectTimeout or a proof is wrong. */
+    /** Returns the services of the other end; connects and authenticates first if needed. The promise fails if that
+     * takes longer than ConnectTimeout or a proof is wrong. */
     [[nodiscard]] kj::Promise<OfferedServices> services();
 
-    /** Drops the connection; the next call makes a new one. Call it after a call on it failed or timed out. */
+    /** Drops the connection; the next `services` makes a new one. Call it after an RPC failed or timed out. */
     void reset();
 
     [[nodiscard]] const std::string &peerAddress() const
@@ -45,25 +46,25 @@
 private:
     struct Connection;
 
-    /** A connected stream with the TLS context that it needs. */
+    /** A connected stream with the TLS context that must outlive it. */
     struct SecuredStream
     {
-        std::shared_ptr<kj::TlsContext> tls; ///< Null where it is not encrypted.
-        kj::Own<kj::AsyncIoStream> stream; ///< Ready for messages.
+        std::shared_ptr<kj::TlsContext> tls; ///< Null if the stream is not encrypted.
+        kj::Own<kj::AsyncIoStream> stream; ///< Stream for messages, after the TLS handshake.
     };
 
-    kj::Promise<SecuredStream> secure(kj::Own<kj::AsyncIoStream> stream);
-    kj::Promise<kj::Own<kj::AsyncIoStream>> connectSocket(kj::NetworkAddress &target);
+    kj::Promise<SecuredStream> startTls(kj::Own<kj::AsyncIoStream> stream);
+    kj::Promise<kj::Own<kj::AsyncIoStream>> connectTcp(kj::NetworkAddress &target);
     kj::Promise<void> connect();
 
     RpcContext &context; ///< Outlives the link.
     std::string address; ///< ip:port of the other end.
-    std::shared_ptr<Connection> connection; ///< Null where there is none; set before the gate is passed.
-    kj::Maybe<kj::ForkedPromise<void>> connecting; ///< Set while a connection is under way.
+    std::shared_ptr<Connection> connection; ///< Null if there is none; set before authentication completes.
+    kj::Maybe<kj::ForkedPromise<void>> connecting; ///< Set while connecting.
 };
 
-/** Accepts connections on @p address (`ip:port`) and offers @p services behind the gate.
- * @return the promise that runs the port; it fails with AddressInUse text where the port can't be bound. */
+/** Accepts connections on @p address (`ip:port`) and offers @p services to authenticated peers.
+ * @return a promise that runs the port; it fails if the port can't be bound, which callers report as AddressInUse. */
 [[nodiscard]] kj::Promise<void> serveRpc(RpcContext &context, const std::string &address, OfferedServices services);
 
 } // namespace Chestnuthook
--- a/tests/process/security_link_test.cpp
+++ b/tests/process/security_link_test.cpp
@@ -1,5 +1,5 @@
-/** @file security_link_test.cpp  Traffic between our processes under TLS, and a change of the fleet's secret while it
- * runs. */
+/** @file security_link_test.cpp  TLS between the fleet's processes, and replacement of certificates and secrets at run
+ * time. */
 #define BOOST_TEST_MODULE security_link
 #include <csignal>
 #include <filesystem>
@@ -28,7 +28,7 @@
         "--fleet_trust=" + authority + ".crt"};
 }
 
-/** Lists keys by a ctl with other flags than the fleet's own. */
+/** Lists keys by chestnuthook-ctl with @p flags in place of the fleet's own. */
 CommandResult listKeys(const ProcessFleet &fleet, std::vector<std::string> flags)
 {
     flags.push_back("--controls=" + fleet.controlAddresses[0]);
@@ -42,7 +42,7 @@
     std::filesystem::rename(path + ".new", path);
 }
 
-/** A new process of entry 0 must connect anew to all others. */
+/** Restarts entry 0, which must then open new connections to all other processes. @return whether it serves again. */
 bool restartedEntryServes(ProcessFleet &fleet)
 {
     fleet.processes.at("entry-0")->signal(SIGKILL);
@@ -55,7 +55,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(only_processes_with_a_certificate_of_the_fleet_get_through_and_certificates_are_replaced)
+BOOST_AUTO_TEST_CASE(tls_requires_a_fleet_certificate_and_certificates_can_be_replaced)
 {
     const TemporaryFolder folder;
     const std::string authority = folder.path + "/authority";
@@ -73,11 +73,11 @@
     BOOST_TEST(fleet.ctl({"keys", "list"}).exitCode == 0);
     const CommandResult plain = listKeys(fleet, {});
     BOOST_TEST(plain.exitCode != 0, plain.output);
-    const CommandResult stranger = listKeys(fleet, tlsFlags(folder.path + "/stranger", authority));
-    BOOST_TEST(stranger.exitCode != 0, stranger.output);
-    const CommandResult deceived = listKeys(fleet, tlsFlags(member, other));
-    BOOST_TEST(deceived.exitCode != 0, deceived.output);
-    // A new certificate and a second authority, read by running processes; only the second one is left in the end.
+    const CommandResult foreignCertificate = listKeys(fleet, tlsFlags(folder.path + "/stranger", authority));
+    BOOST_TEST(foreignCertificate.exitCode != 0, foreignCertificate.output);
+    const CommandResult wrongAuthority = listKeys(fleet, tlsFlags(member, other));
+    BOOST_TEST(wrongAuthority.exitCode != 0, wrongAuthority.output);
+    // Running processes load a new certificate of a second authority; in the end only the second authority is trusted.
     const std::string second = folder.path + "/second";
     writeCertificate(second, "second authority of the fleet");
     replaceFile(authority + ".crt", readFile(authority + ".crt") + readFile(second + ".crt"));
@@ -91,7 +91,7 @@
     }));
 }
 
-BOOST_AUTO_TEST_CASE(a_secret_is_changed_in_three_steps_while_the_fleet_serves)
+BOOST_AUTO_TEST_CASE(secret_can_be_replaced_in_three_steps_while_serving)
 {
     ProcessFleet fleet;
     const std::string path = fleet.folder + "/secret";
--- a/tests/unit/gate_test.cpp
+++ b/tests/unit/gate_test.cpp
@@ -1,4 +1,4 @@
-/** @file gate_test.cpp  Who passes the gate, and that a change of the secret leaves no moment in which nobody does. */
+/** @file gate_test.cpp  Authentication by shared secrets, also while a secret is being replaced. */
 #define BOOST_TEST_MODULE gate
 #include <filesystem>
 #include <fstream>
@@ -8,7 +8,7 @@
 #include <boost/test/unit_test.hpp>
 #include <kj/async-io.h>
 
-#include "rpc/gate_func.h"
+#include "rpc/authentication_func.h"
 #include "support/process_fleet.h"
 
 using namespace Chestnuthook;
@@ -16,13 +16,14 @@
 namespace
 {
 
-/** Whether a client with @p client's text of secrets passes the gate of a server with @p server's. */
-bool passes(kj::WaitScope &scope, const std::string &client, const std::string &server)
+/** Whether a client with the secret file @p clientSecrets authenticates to a server with @p serverSecrets. */
+bool authenticates(kj::WaitScope &scope, const std::string &clientSecrets, const std::string &serverSecrets)
 {
-    FleetSecurity serving(server, {});
-    FleetSecurity calling(client, {});
+    FleetSecurity serverSecurity(serverSecrets, {});
+    FleetSecurity clientSecurity(clientSecrets, {});
     try {
-        passGate(makeGate(serving, OfferedServices{}), calling.secrets(), "test").wait(scope);
+        authenticateToPeer(makeAuthenticationGate(serverSecurity, OfferedServices{}), clientSecurity.secrets(), "test")
+            .wait(scope);
     } catch (const kj::Exception &exception) {
         return false;
     }
@@ -31,27 +32,27 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(only_a_shared_secret_passes)
+BOOST_AUTO_TEST_CASE(authentication_requires_a_shared_secret)
 {
     auto io = kj::setupAsyncIo();
-    BOOST_TEST(passes(io.waitScope, "old", "old"));
-    BOOST_TEST(!passes(io.waitScope, "old", "new"));
-    BOOST_TEST(!passes(io.waitScope, "", "new"));
-    BOOST_TEST(!passes(io.waitScope, "ol", "old"));
+    BOOST_TEST(authenticates(io.waitScope, "old", "old"));
+    BOOST_TEST(!authenticates(io.waitScope, "old", "new"));
+    BOOST_TEST(!authenticates(io.waitScope, "", "new"));
+    BOOST_TEST(!authenticates(io.waitScope, "ol", "old"));
 }
 
-BOOST_AUTO_TEST_CASE(each_step_of_a_change_passes_with_the_step_before_it_both_ways)
+BOOST_AUTO_TEST_CASE(adjacent_steps_of_a_secret_change_authenticate_both_ways)
 {
     auto io = kj::setupAsyncIo();
     const std::vector<std::string> steps = {"old", "old\nnew", "new\nold", "new"};
     for (std::size_t i = 0; i + 1 < steps.size(); ++i) {
-        BOOST_TEST(passes(io.waitScope, steps[i], steps[i + 1]), steps[i]);
-        BOOST_TEST(passes(io.waitScope, steps[i + 1], steps[i]), steps[i]);
+        BOOST_TEST(authenticates(io.waitScope, steps[i], steps[i + 1]), steps[i]);
+        BOOST_TEST(authenticates(io.waitScope, steps[i + 1], steps[i]), steps[i]);
     }
-    BOOST_TEST(!passes(io.waitScope, steps.front(), steps.back()));
+    BOOST_TEST(!authenticates(io.waitScope, steps.front(), steps.back()));
 }
 
-BOOST_AUTO_TEST_CASE(a_changed_file_is_read_and_an_empty_one_keeps_the_secrets_in_use)
+BOOST_AUTO_TEST_CASE(changed_secret_file_is_reloaded_and_an_empty_one_is_ignored)
 {
     const Testing::TemporaryFolder folder;
     const std::string path = folder.path + "/secret";
