--- a/src/control/control_service_base.cpp
+++ b/src/control/control_service_base.cpp
@@ -1,4 +1,4 @@
-/** @file control_service_base.cpp  The Control interface over the replicated groups. */
+/** @file control_service_base.cpp  Implements the Control interface on the replicated state machines. */
 #include "control/control_service_base.h"
 
 #include <algorithm>
@@ -16,15 +16,15 @@
 namespace
 {
 
-/** Machines on the log. */
-constexpr std::uint8_t FleetTag = 0;
-constexpr std::uint8_t JournalTag = 1;
+/** Tags of the state machines on the replicated log. */
+constexpr std::uint8_t FleetMachineTag = 0;
+constexpr std::uint8_t JournalMachineTag = 1;
 
 constexpr std::size_t MaxEventsPerRead = 1000;
-constexpr Duration ExpiryPeriod = std::chrono::milliseconds(250);
+constexpr Duration ExpiryCheckInterval = std::chrono::milliseconds(250);
 
-/** The flat command that grants @p entry a lease. */
-std::string grantCommand(Wire::Entry::Reader entry)
+/** Flat fleet command that grants @p entry a lease. */
+std::string grantLeaseCommand(Wire::Entry::Reader entry)
 {
     capnp::MallocMessageBuilder message;
     auto command = message.initRoot<Wire::FleetCommand>();
@@ -44,7 +44,7 @@
     return flatBytes(message);
 }
 
-/** The flat command that drops strikes that have expired by now. */
+/** Flat fleet command that drops strikes that have expired by now. */
 std::string pruneCommand()
 {
     capnp::MallocMessageBuilder message;
@@ -54,7 +54,7 @@
     return flatBytes(message);
 }
 
-std::string setStateCommand(Wire::Entry::Reader entry, std::uint64_t epoch)
+std::string setEntryStateCommand(Wire::Entry::Reader entry, std::uint64_t epoch)
 {
     capnp::MallocMessageBuilder message;
     auto command = message.initRoot<Wire::FleetCommand>();
@@ -101,7 +101,7 @@
                 if (reply) {
                     result.setReply(dataOf(*reply));
                 } else {
-                    this->refuse(result, reply.error());
+                    this->writeError(result, reply.error());
                 }
             });
     }
@@ -111,23 +111,24 @@
         if (this->member.dropEntries) {
             return kj::NEVER_DONE;
         }
-        if (!this->member.node.isLeader()) { // What we know of the entry may be old.
+        if (!this->member.node.isLeader()) { // This member's record of the entry may be outdated.
             return this->answerSync(context, 0);
         }
         const auto entry = context.getParams().getRequest().getEntry();
         observeHybridTime(context.getParams().getRequest().getTime());
-        const EntryRecord *known = this->member.fleet.machine.entries.find(EntryId{textOf(entry.getId())});
-        const bool held = known != nullptr && known->epoch.value == entry.getEpoch();
-        // An entry that an operator drains learns that from the delta; its own word doesn't bring it back.
-        const bool told = held && (known->state == stateOf(entry) || known->state == EntryState::Draining);
-        if (told) {
-            return this->answerSync(context, known->epoch.value);
+        const EntryRecord *recorded = this->member.fleet.machine.entries.find(EntryId{textOf(entry.getId())});
+        const bool holdsLease = recorded != nullptr && recorded->epoch.value == entry.getEpoch();
+        // An entry drained by an operator learns that from the delta; its own report must not make it live again.
+        const bool upToDate =
+            holdsLease && (recorded->state == stateOf(entry) || recorded->state == EntryState::Draining);
+        if (upToDate) {
+            return this->answerSync(context, recorded->epoch.value);
         }
-        auto command = held ? setStateCommand(entry, known->epoch.value) : grantCommand(entry);
+        auto command = holdsLease ? setEntryStateCommand(entry, recorded->epoch.value) : grantLeaseCommand(entry);
         return this->member.fleet.propose(std::move(command))
             .then([this, context](Result<std::string> &&reply) mutable {
                 if (!reply) {
-                    this->refuse(context.getResults().initResult(), reply.error());
+                    this->writeError(context.getResults().initResult(), reply.error());
                     return kj::Promise<void>(kj::READY_NOW);
                 }
                 const EntryId id{textOf(context.getParams().getRequest().getEntry().getId())};
@@ -144,7 +145,7 @@
         return this->member.journal.confirmRead().then([this, context](Result<void> &&confirmed) mutable {
             auto result = context.getResults().initResult();
             if (!confirmed) {
-                this->refuse(result, confirmed.error());
+                this->writeError(result, confirmed.error());
                 return;
             }
             writeHybridTime(result.initTime());
@@ -186,7 +187,7 @@
         return this->member.fleet.confirmRead().then([this, context](Result<void> &&confirmed) mutable {
             auto result = context.getResults().initResult();
             if (!confirmed) {
-                this->refuse(result, confirmed.error());
+                this->writeError(result, confirmed.error());
                 return;
             }
             this->member.fleet.machine.writeDelta(0, result.initDelta().initDelta());
@@ -204,7 +205,7 @@
             if (done) {
                 result.setReply(nullptr);
             } else {
-                this->refuse(result, done.error());
+                this->writeError(result, done.error());
             }
         });
     }
@@ -227,7 +228,7 @@
 
 private:
     template<typename Result>
-    void refuse(Result result, const Error &error)
+    void writeError(Result result, const Error &error)
     {
         result.setLeader(this->member.node.leaderAddress());
         writeFailure(result.initFailure(), error);
@@ -251,7 +252,7 @@
             const auto request = context.getParams().getRequest();
             auto result = context.getResults().initResult();
             if (!confirmed) {
-                this->refuse(result, confirmed.error());
+                this->writeError(result, confirmed.error());
                 return;
             }
             const EntryId id{textOf(request.getEntry().getId())};
@@ -266,8 +267,8 @@
             auto delta = result.initDelta();
             this->member.fleet.machine.writeDelta(request.getHaveIndex(), delta.initDelta());
             delta.setEpoch(epoch);
-            delta.setLeaseMs(
-                static_cast<std::uint32_t>(std::chrono::duration_cast<std::chrono::milliseconds>(LeasePeriod).count()));
+            delta.setLeaseMs(static_cast<std::uint32_t>(
+                std::chrono::duration_cast<std::chrono::milliseconds>(LeaseDuration).count()));
         });
     }
 
@@ -288,24 +289,24 @@
             entry.getEntry().setDataCentre(row.record.dataCentre.text);
             const bool draining = row.record.state == EntryState::Draining;
             entry.getEntry().setState(draining ? Wire::EntryState::DRAINING : Wire::EntryState::LIVE);
-            if (const EntryContact *heard = this->member.leases.find(id)) {
-                entry.setInForceRevision(heard->inForceRevision);
-                entry.setHaveIndex(heard->haveIndex);
+            if (const EntryContact *contact = this->member.leases.find(id)) {
+                entry.setInForceRevision(contact->inForceRevision);
+                entry.setHaveIndex(contact->haveIndex);
                 entry.setHeardMsAgo(
-                    static_cast<std::uint64_t>((this->member.loop.timers().now() - heard->heard).count() / 1000));
+                    static_cast<std::uint64_t>((this->member.loop.timers().now() - contact->lastHeard).count() / 1000));
             }
         }
     }
 
-    ControlMember &member; ///< Outlives the service.
+    ControlMember &member; ///< Outlives this.
 };
 
 } // namespace
 
 ControlMember::ControlMember(ControlLoop &loop, ReplicaSettings settings, bool testHooks)
     : node(loop, settings)
-    , fleet(this->node, FleetTag)
-    , journal(this->node, JournalTag)
+    , fleet(this->node, FleetMachineTag)
+    , journal(this->node, JournalMachineTag)
     , memberId(settings.name)
     , testHooks(testHooks)
     , loop(loop)
@@ -323,31 +324,31 @@
 void ControlMember::start()
 {
     this->node.start();
-    this->expiry = this->loop.timers().every(ExpiryPeriod, [this]() {
-        this->expire();
+    this->expiryTimer = this->loop.timers().every(ExpiryCheckInterval, [this]() {
+        this->checkExpiry();
     });
 }
 
-void ControlMember::expire()
+void ControlMember::checkExpiry()
 {
     const auto now = this->loop.timers().now();
-    const bool work = this->node.isLeader()
+    const bool anyExpired = this->node.isLeader()
         && (!this->leases.markExpired(this->fleet.machine, now).empty()
             || this->fleet.machine.hasExpiredStrikes(wallMsNow()));
-    if (!work || this->confirming) {
+    if (!anyExpired || this->confirmingExpiry) {
         return;
     }
-    this->confirming = true;
-    // A leader that was stopped for a while hears of its successor, and of its entries, before it ends any lease.
+    this->confirmingExpiry = true;
+    // A leader whose process was suspended must hear from its successor and from its entries before it ends any lease.
     this->loop.detach(this->node.confirmRead().then([this](Result<void> &&confirmed) {
-        this->confirming = false;
+        this->confirmingExpiry = false;
         if (confirmed) {
-            this->expireConfirmed();
+            this->endExpired();
         }
     }));
 }
 
-void ControlMember::expireConfirmed()
+void ControlMember::endExpired()
 {
     for (const EntryRecord &entry : this->leases.markExpired(this->fleet.machine, this->loop.timers().now())) {
         logEvent(EventKind::LeaseExpired, {{"entry", entry.id.text}, {"epoch", std::to_string(entry.epoch.value)}});
--- a/src/control/control_service_base.h
+++ b/src/control/control_service_base.h
@@ -1,4 +1,5 @@
-/** @file control_service_base.h  What a control member offers entries and operators, over its two replicated groups. */
+/** @file control_service_base.h  RPC service of a control member for entries and operators, over its two replicated
+ * state machines. */
 #pragma once
 
 #include <string>
@@ -14,39 +15,39 @@
 namespace Chestnuthook
 {
 
-/** The state of one control member; lives on the control thread. */
+/** State of one control member. Used on the control thread only. */
 class ControlMember
 {
 public:
     ControlMember(ControlLoop &loop, ReplicaSettings settings, bool testHooks);
 
-    /** Opens the log in @p dataFolder and restores both machines. */
+    /** Opens the log in @p dataFolder and restores both state machines. */
     Result<void> open(const std::string &dataFolder);
 
-    /** Starts to take part, and the periodic work of a leader. */
+    /** Starts replication and the periodic expiry check. */
     void start();
 
-    /** Ends the leases whose holders were not heard, and drops strikes that have expired; does nothing but at a leader
-     * that a quorum confirms. */
-    void expire();
+    /** Ends the leases of entries that stopped renewing them and drops expired strikes. Does nothing unless this member
+     * leads and a quorum confirms it. */
+    void checkExpiry();
 
-    ReplicaNode node; ///< The log that both machines stand on.
+    ReplicaNode node; ///< Replicated log of both state machines.
     ReplicaGroup<FleetState> fleet; ///< Declarations, keys, leases, slots.
     ReplicaGroup<JournalState> journal; ///< Programs.
-    LeaseKeeper leases; ///< Meaningful while this member leads.
-    const std::string memberId; ///< Shown to operators.
+    LeaseKeeper leases; ///< Valid only while this member leads.
+    const std::string memberId; ///< Name of this member, shown to operators.
     const bool testHooks; ///< Whether setTestFault is served.
-    bool dropEntries = false; ///< Test hook: entries and tools get no answer.
+    bool dropEntries = false; ///< Test hook: requests of entries and tools are not answered.
     ControlLoop &loop; ///< Outlives this.
 
 private:
-    void expireConfirmed();
+    void endExpired();
 
-    TimerSubscription expiry; ///< Runs expire.
-    bool confirming = false; ///< A confirmation for expire is under way.
+    TimerSubscription expiryTimer; ///< Runs `checkExpiry` periodically.
+    bool confirmingExpiry = false; ///< Whether a quorum confirmation for `checkExpiry` is in progress.
 };
 
-/** Makes the Control capability over @p member, which outlives it. */
+/** Creates the Control capability of @p member, which must outlive it. */
 [[nodiscard]] Wire::Control::Client makeControlService(ControlMember &member);
 
 } // namespace Chestnuthook
--- a/src/control/fleet_event_func.cpp
+++ b/src/control/fleet_event_func.cpp
@@ -1,4 +1,4 @@
-/** @file fleet_event_func.cpp  One event for each accepted change of an operator. */
+/** @file fleet_event_func.cpp  Logs one event for each accepted change by an operator. */
 #include "control/fleet_event_func.h"
 
 #include "observe/log_func.h"
@@ -11,26 +11,26 @@
 void logFleetCommand(std::string_view command, std::string_view reply)
 {
     FlatMessage replyMessage(reply);
-    const auto answer = replyMessage.root<Wire::FleetReply>();
-    if (answer.isFailure()) {
+    const auto fleetReply = replyMessage.root<Wire::FleetReply>();
+    if (fleetReply.isFailure()) {
         return;
     }
     FlatMessage message(command);
-    const auto change = message.root<Wire::FleetCommand>();
-    const std::string request = textOf(change.getRequestId());
-    if (change.isApply()) {
+    const auto fleetCommand = message.root<Wire::FleetCommand>();
+    const std::string request = textOf(fleetCommand.getRequestId());
+    if (fleetCommand.isApply()) {
         logEvent(EventKind::ConfigurationApplied,
-            {{"revision", std::to_string(answer.getRevision())}, {"request", request},
-                {"changes", std::to_string(change.getApply().getChanges().size())}});
-    } else if (change.isIssueKey()) {
+            {{"revision", std::to_string(fleetReply.getRevision())}, {"request", request},
+                {"changes", std::to_string(fleetCommand.getApply().getChanges().size())}});
+    } else if (fleetCommand.isIssueKey()) {
         logEvent(EventKind::KeyIssued,
-            {{"key_id", textOf(change.getIssueKey().getId())}, {"tenant", textOf(change.getIssueKey().getTenant())},
-                {"request", request}});
-    } else if (change.isWithdrawKey()) {
-        logEvent(EventKind::KeyWithdrawn, {{"key_id", textOf(change.getWithdrawKey())}, {"request", request}});
-    } else if (change.isSetEntryState()) {
-        logEvent(
-            EventKind::DrainStarted, {{"entry", textOf(change.getSetEntryState().getEntry())}, {"request", request}});
+            {{"key_id", textOf(fleetCommand.getIssueKey().getId())},
+                {"tenant", textOf(fleetCommand.getIssueKey().getTenant())}, {"request", request}});
+    } else if (fleetCommand.isWithdrawKey()) {
+        logEvent(EventKind::KeyWithdrawn, {{"key_id", textOf(fleetCommand.getWithdrawKey())}, {"request", request}});
+    } else if (fleetCommand.isSetEntryState()) {
+        logEvent(EventKind::DrainStarted,
+            {{"entry", textOf(fleetCommand.getSetEntryState().getEntry())}, {"request", request}});
     }
 }
 
--- a/src/control/fleet_event_func.h
+++ b/src/control/fleet_event_func.h
@@ -1,4 +1,4 @@
-/** @file fleet_event_func.h  Events of operators' changes, logged by the member that committed them. */
+/** @file fleet_event_func.h  Log events for changes by operators, written by the control member that committed them. */
 #pragma once
 
 #include <string_view>
@@ -6,7 +6,8 @@
 namespace Chestnuthook
 {
 
-/** Logs the event of the fleet command @p command whose flat reply is @p reply; nothing where it was refused. */
+/** Logs the event of a committed fleet command; nothing if it was rejected. @p command and @p reply are flat messages.
+ */
 void logFleetCommand(std::string_view command, std::string_view reply);
 
 } // namespace Chestnuthook
--- a/src/control/lease_keeper_base.cpp
+++ b/src/control/lease_keeper_base.cpp
@@ -1,4 +1,4 @@
-/** @file lease_keeper_base.cpp  Expiry of entries' leases at the leader. */
+/** @file lease_keeper_base.cpp  Expiry of the leases of entries at the leader. */
 #include "control/lease_keeper_base.h"
 
 namespace Chestnuthook
@@ -6,17 +6,17 @@
 
 void LeaseKeeper::beginTerm(const FleetState &state, Instant now)
 {
-    this->entries.clear();
+    this->contacts.clear();
     for (const auto &[id, row] : state.entries.all()) {
         if (!row.removed) {
-            this->entries[id] = EntryContact{now, 0, 0, Epoch{}};
+            this->contacts[id] = EntryContact{now, 0, 0, Epoch{}};
         }
     }
 }
 
-void LeaseKeeper::recordContact(const EntryId &entry, EntryContact said)
+void LeaseKeeper::recordContact(const EntryId &entry, EntryContact contact)
 {
-    this->entries[entry] = said;
+    this->contacts[entry] = contact;
 }
 
 std::vector<EntryRecord> LeaseKeeper::markExpired(const FleetState &state, Instant now)
@@ -24,16 +24,16 @@
     std::vector<EntryRecord> found;
     for (const auto &[id, row] : state.entries.all()) {
         if (row.removed) {
-            this->entries.erase(id);
+            this->contacts.erase(id);
             continue;
         }
-        const auto known = this->entries.try_emplace(id, EntryContact{now, 0, 0, Epoch{}}).first;
-        const Epoch ending = known->second.ending;
+        const auto contact = this->contacts.try_emplace(id, EntryContact{now, 0, 0, Epoch{}}).first;
+        const Epoch ending = contact->second.endingEpoch;
         if (ending.value != 0 && ending != row.record.epoch) {
-            known->second = EntryContact{now, 0, 0, Epoch{}}; // A new lease since.
+            contact->second = EntryContact{now, 0, 0, Epoch{}}; // It was granted a new lease since.
         }
-        if (now - known->second.heard > LeasePeriod + LeaseMargin) {
-            known->second.ending = row.record.epoch;
+        if (now - contact->second.lastHeard > LeaseDuration + LeaseExpiryMargin) {
+            contact->second.endingEpoch = row.record.epoch;
             found.push_back(row.record);
         }
     }
@@ -42,14 +42,14 @@
 
 bool LeaseKeeper::isEnding(const EntryId &entry, Epoch epoch) const
 {
-    const EntryContact *heard = this->find(entry);
-    return heard != nullptr && epoch.value != 0 && heard->ending == epoch;
+    const EntryContact *contact = this->find(entry);
+    return contact != nullptr && epoch.value != 0 && contact->endingEpoch == epoch;
 }
 
 const EntryContact *LeaseKeeper::find(const EntryId &entry) const
 {
-    const auto found = this->entries.find(entry);
-    return found == this->entries.end() ? nullptr : &found->second;
+    const auto found = this->contacts.find(entry);
+    return found == this->contacts.end() ? nullptr : &found->second;
 }
 
 } // namespace Chestnuthook
--- a/src/control/lease_keeper_base.h
+++ b/src/control/lease_keeper_base.h
@@ -1,5 +1,5 @@
-/** @file lease_keeper_base.h  The leader's record of when each entry was last heard. Lease renewals are not
- * replicated; only grants and ends are. A new leader gives every lease a whole period from when it began to lead. */
+/** @file lease_keeper_base.h  Tracks at the leader when each entry last made contact. Lease renewals are not
+ * replicated, only grants and ends are. A new leader therefore extends every lease by a full LeaseDuration. */
 #pragma once
 
 #include <cstdint>
@@ -13,41 +13,41 @@
 namespace Chestnuthook
 {
 
-/** How long an entry may act on a lease, from when it sent the request that renewed it, by its own clock. */
-constexpr Duration LeasePeriod = std::chrono::milliseconds(3000);
+/** Validity of a lease, by the entry's own clock, from when the entry sent the request that granted or renewed it. */
+constexpr Duration LeaseDuration = std::chrono::milliseconds(3000);
 
-/** Added by the leader before it ends a lease, for clocks that run at different rates. */
-constexpr Duration LeaseMargin = std::chrono::milliseconds(300);
+/** Additional time that the leader waits before it ends a lease, as clocks run at different rates. */
+constexpr Duration LeaseExpiryMargin = std::chrono::milliseconds(300);
 
-/** What the leader knows of one entry beyond its replicated record. */
+/** What the leader knows about one entry beyond its replicated record. */
 struct EntryContact
 {
-    Instant heard; ///< When its last request arrived.
-    std::uint64_t inForceRevision = 0; ///< Revision that it said to serve under.
-    std::uint64_t haveIndex = 0; ///< Log index that it said to hold.
-    Epoch ending; ///< Lease whose end was proposed; 0 for none.
+    Instant lastHeard; ///< Arrival time of its last request.
+    std::uint64_t inForceRevision = 0; ///< Configuration revision that it reported to serve under.
+    std::uint64_t haveIndex = 0; ///< Log index up to which it reported to have the fleet state.
+    Epoch endingEpoch; ///< Epoch of the lease whose end is being proposed; 0 for none.
 };
 
 class LeaseKeeper
 {
 public:
-    /** Called when this member begins to lead: all leases get a whole period from @p now. */
+    /** Extends all leases by a full LeaseDuration from @p now; called when this member becomes the leader. */
     void beginTerm(const FleetState &state, Instant now);
 
-    /** An entry's request arrived. */
-    void recordContact(const EntryId &entry, EntryContact said);
+    /** Records a request of @p entry. */
+    void recordContact(const EntryId &entry, EntryContact contact);
 
-    /** Whether @p entry's lease of @p epoch may not be renewed any more: once `markExpired` has named it, its end is
-     * under way, and a successor relies on nothing being granted under it. */
+    /** Whether the lease of @p entry with @p epoch must not be renewed any more. Once `markExpired` has returned it,
+     * its end is being committed, and a successor relies on nothing being granted under it. */
     [[nodiscard]] bool isEnding(const EntryId &entry, Epoch epoch) const;
 
-    /** Leases whose holders have stopped acting on them; they are ending from now on. */
+    /** Marks the leases whose holders have stopped acting on them as ending. @return the entries that hold them. */
     [[nodiscard]] std::vector<EntryRecord> markExpired(const FleetState &state, Instant now);
 
     [[nodiscard]] const EntryContact *find(const EntryId &entry) const;
 
 private:
-    std::map<EntryId, EntryContact> entries; ///< By entry; those without a lease are dropped.
+    std::map<EntryId, EntryContact> contacts; ///< By entry; removed together with its replicated record.
 };
 
 } // namespace Chestnuthook
--- a/src/control/main.cpp
+++ b/src/control/main.cpp
@@ -1,4 +1,4 @@
-/** @file main.cpp  chestnuthook-control: one member of the replicated control state, on an instance with a disk. */
+/** @file main.cpp  chestnuthook-control: one member of the replicated control state; needs durable storage. */
 #include <cstdlib>
 #include <map>
 #include <optional>
@@ -16,13 +16,13 @@
 #include "table/error_table.h"
 
 DEFINE_string(listen, "127.0.0.1:7600", "Address of the control port, ip:port.");
-DEFINE_string(data, "", "Data folder; everything durable lives below it.");
+DEFINE_string(data, "", "Data folder; all durable state is stored below it.");
 DEFINE_string(member, "control-1", "Name of this member.");
 DEFINE_string(data_centre, "local", "Data centre of this instance.");
-DEFINE_string(members, "", "Members of a new group, NAME=ip:port, comma-separated; empty: this one alone.");
-DEFINE_bool(join, false, "Never found a group: wait to be added by chestnuthook-ctl members add.");
+DEFINE_string(members, "", "Initial members of a new group, NAME=ip:port, comma-separated; if empty, this one alone.");
+DEFINE_bool(join, false, "Never bootstrap a new group; wait to be added by chestnuthook-ctl members add.");
 DEFINE_uint64(snapshot_entries, 10000, "Log entries between snapshots.");
-DEFINE_bool(test_hooks, false, "Serve the hooks that tests use to drop this member's traffic.");
+DEFINE_bool(test_hooks, false, "Serve the test hooks that drop this member's traffic.");
 DEFINE_string(secret_file, "", "File with the fleet's secret; else CHESTNUTHOOK_SECRET.");
 DEFINE_string(log_file, "", "File that gets the log lines besides standard output.");
 DEFINE_string(log_level, "info", "Lowest level of events that are logged: debug, info, warning or error.");
@@ -32,7 +32,7 @@
 
 using namespace Chestnuthook;
 
-/** Names and addresses of `NAME=ip:port,…`; empty where the list is malformed or empty. */
+/** Parses `NAME=ip:port,…` into addresses by name; empty if @p list is malformed or empty. */
 std::map<std::string, std::string> parseMembers(const std::string &list)
 {
     std::map<std::string, std::string> members;
@@ -70,7 +70,7 @@
     {"log_level", "logging", oneOfCheck({"debug", "info", "warning", "error"}), "say debug, info, warning or error"},
 };
 
-int endWith(const Error &error)
+int reportFault(const Error &error)
 {
     logEvent(EventKind::StorageFault, {{"error", errorText(error)}});
     return errorRow(error.kind).exitCode;
@@ -87,7 +87,7 @@
     return replica;
 }
 
-/** A control member's process. */
+/** Process of one control member. */
 class MemberDaemon
 {
 public:
@@ -103,7 +103,7 @@
         Supervisor root("control", RestartStrategy::RestForOne, {}, this->loop.timers(), this->children());
         const Result<void> started = root.start();
         if (!started) {
-            return endWith(started.error());
+            return reportFault(started.error());
         }
         this->loop.onTerminate([this]() {
             logEvent(EventKind::ProcessStopping, {});
@@ -116,7 +116,7 @@
     }
 
 private:
-    /** The supervisor's table, in start order: each row leans on those above it. */
+    /** Children of the supervisor in start order; each depends on those before it. */
     std::vector<ChildSpecification> children()
     {
         using Daemon = MemberDaemon;
@@ -143,15 +143,15 @@
         OfferedServices services{makeControlService(this->member), this->member.node.makeService()};
         auto port = serveRpc(this->loop.rpc(), FLAGS_listen, kj::mv(services));
         this->loop.detach(port.catch_([this](kj::Exception &&exception) {
-            this->exitCode = endWith(Error{ErrorKind::AddressInUse, exception.getDescription().cStr(), Ran::No, 0});
+            this->exitCode = reportFault(Error{ErrorKind::AddressInUse, exception.getDescription().cStr(), Ran::No, 0});
             this->loop.stop();
         }));
         return {};
     }
 
-    ControlLoop loop; ///< The control thread's.
-    ControlMember member; ///< The replicated state.
-    int exitCode = EXIT_SUCCESS; ///< Why the daemon ends by itself.
+    ControlLoop loop; ///< Event loop of the control thread.
+    ControlMember member; ///< Replicated state and its service.
+    int exitCode = EXIT_SUCCESS; ///< Set when the daemon stops because of an error.
 };
 
 } // namespace
--- a/tests/process/control_test.cpp
+++ b/tests/process/control_test.cpp
@@ -1,4 +1,5 @@
-/** @file control_test.cpp  Three control members as one: losses of the leader, races, resends and restarts. */
+/** @file control_test.cpp  A group of three control members: loss of the leader, concurrent changes, resent
+ * commands and restarts. */
 #define BOOST_TEST_MODULE control
 #include <boost/test/unit_test.hpp>
 
@@ -56,12 +57,12 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(a_leader_killed_under_load_loses_nothing_that_was_acknowledged)
+BOOST_AUTO_TEST_CASE(leader_killed_under_load_loses_nothing_acknowledged)
 {
     ProcessFleet fleet(threeControls(2));
     ControlProbe probe(fleet);
     std::atomic<bool> stop = false;
-    std::map<std::string, std::pair<int, std::string>> answered; // Entry and body by call.
+    std::map<std::string, std::pair<int, std::string>> answered; // Entry index and response body by call.
     std::thread load([&]() {
         for (int i = 0; !stop; ++i) {
             const HttpAnswer created = fleet.ask(i % 2, "POST", "/v1/programs", "{}");
@@ -78,25 +79,25 @@
         }
     });
     const std::size_t old = probe.leader();
-    std::this_thread::sleep_for(std::chrono::seconds(1)); // Load of the first leader.
+    std::this_thread::sleep_for(std::chrono::seconds(1)); // Load under the first leader.
     kill(fleet, controlName(old));
     const std::size_t next = probe.leader(old);
-    std::this_thread::sleep_for(std::chrono::seconds(2)); // Load of the second.
+    std::this_thread::sleep_for(std::chrono::seconds(2)); // Load under the second leader.
     stop = true;
     load.join();
     BOOST_TEST(next != old);
     BOOST_TEST(answered.size() > 10U);
     for (const auto &[call, first] : answered) {
-        HttpAnswer again;
+        HttpAnswer repeated;
         waitUntil([&, path = call, at = first.first]() {
-            again = fleet.ask(at, "POST", path, ModelCall);
-            return again.status != 429; // A resend counts within the tenant's rate.
+            repeated = fleet.ask(at, "POST", path, ModelCall);
+            return repeated.status != 429; // A resent call counts towards the tenant's rate limit.
         });
-        BOOST_TEST(again.body == first.second, call << " gave " << again.body);
+        BOOST_TEST(repeated.body == first.second, call << " gave " << repeated.body);
     }
 }
 
-BOOST_AUTO_TEST_CASE(operators_who_race_under_equal_numbers_have_one_winner)
+BOOST_AUTO_TEST_CASE(concurrent_changes_based_on_one_revision_have_one_winner)
 {
     ProcessFleet fleet(threeControls());
     ControlProbe probe(fleet);
@@ -108,17 +109,17 @@
     for (int i = 0; i < Racers; ++i) {
         commands.push_back(applyCommand(revision, "race-" + std::to_string(i), "{}"));
     }
-    int won = 0;
+    int acceptedCount = 0;
     for (const std::string &reply : probe.submitTogether(leader, commands)) {
         BOOST_REQUIRE(!reply.empty());
-        won += accepted(reply) ? 1 : 0;
+        acceptedCount += accepted(reply) ? 1 : 0;
         BOOST_TEST((accepted(reply) || failureCode(reply) == "stale_revision"));
     }
-    BOOST_TEST(won == 1);
+    BOOST_TEST(acceptedCount == 1);
     BOOST_TEST(probe.status(leader)->revision == revision + 1);
 }
 
-BOOST_AUTO_TEST_CASE(a_resend_after_a_lost_answer_gets_the_first_answer_also_from_a_new_leader)
+BOOST_AUTO_TEST_CASE(resent_command_gets_first_reply_also_from_new_leader)
 {
     ProcessFleet fleet(threeControls());
     ControlProbe probe(fleet);
@@ -133,7 +134,7 @@
     const std::size_t second = probe.leader(first);
     BOOST_TEST((probe.submit(second, command) == reply));
     BOOST_TEST(probe.status(second)->revision == revision + 1);
-    // The same for a command without an id of its own, sent again by the client of an entry.
+    // The same for a command without its own id that the control client of an entry resends.
     const std::string plain = applyCommand(revision + 1, "", "{}");
     const auto plainReply = probe.submit(second, plain, "client-1");
     BOOST_TEST((plainReply && accepted(*plainReply)));
@@ -141,7 +142,7 @@
     BOOST_TEST(probe.status(second)->revision == revision + 2);
 }
 
-BOOST_AUTO_TEST_CASE(a_whole_fleet_killed_at_once_comes_back_with_all_it_acknowledged)
+BOOST_AUTO_TEST_CASE(fleet_killed_at_once_recovers_everything_acknowledged)
 {
     ProcessFleet fleet(threeControls());
     ControlProbe probe(fleet);
@@ -162,7 +163,7 @@
     }));
 }
 
-BOOST_AUTO_TEST_CASE(a_leader_that_was_stopped_for_long_neither_confirms_nor_ends_leases_when_it_comes_back)
+BOOST_AUTO_TEST_CASE(resumed_leader_neither_confirms_stale_state_nor_ends_leases)
 {
     ProcessFleet fleet(threeControls());
     ControlProbe probe(fleet);
@@ -171,11 +172,11 @@
     fleet.processes.at(controlName(old))->signal(SIGSTOP);
     const std::size_t next = probe.leader(old);
     BOOST_REQUIRE(probe.submit(next, applyCommand(revision, "while-stopped", "{}")).has_value());
-    std::this_thread::sleep_for(std::chrono::seconds(5)); // Past the leases, as the stopped leader saw them last.
+    std::this_thread::sleep_for(std::chrono::seconds(5)); // Past the expiry of the leases last known to the old leader.
     fleet.processes.at(controlName(old))->signal(SIGCONT);
     BOOST_TEST(waitUntil([&]() {
         const auto status = probe.status(old);
-        // It must never say that a quorum confirms what it held when it was stopped.
+        // It must never report its state from before the stop as confirmed by a quorum.
         BOOST_TEST((!status || !status->confirmed || status->revision == revision + 1));
         return status && status->revision == revision + 1;
     }));
@@ -183,19 +184,19 @@
     BOOST_TEST(fleet.ask(0, "POST", "/v1/programs", "{}").status == 201);
 }
 
-BOOST_AUTO_TEST_CASE(a_member_whose_disk_is_full_ends_itself_and_loses_nothing_that_it_acknowledged)
+BOOST_AUTO_TEST_CASE(member_with_full_disk_exits_and_loses_nothing_acknowledged)
 {
     FleetSize size;
     size.entries = size.engines = size.services = 0;
     ProcessFleet fleet(size);
     ControlProbe probe(fleet);
     kill(fleet, "control-0");
-    std::signal(SIGXFSZ, SIG_IGN); // The member inherits both, so that a write past the limit fails.
+    std::signal(SIGXFSZ, SIG_IGN); // The member process inherits both, so that a write beyond the limit fails.
     rlimit before{};
     getrlimit(RLIMIT_FSIZE, &before);
-    rlimit full = before;
-    full.rlim_cur = 64 * 1024;
-    setrlimit(RLIMIT_FSIZE, &full);
+    rlimit fullDisk = before;
+    fullDisk.rlim_cur = 64 * 1024;
+    setrlimit(RLIMIT_FSIZE, &fullDisk);
     fleet.startControl(0);
     setrlimit(RLIMIT_FSIZE, &before);
     std::uint64_t revision = probe.status(probe.leader())->revision;
@@ -211,7 +212,7 @@
     BOOST_TEST(probe.status(probe.leader())->revision == revision);
 }
 
-BOOST_AUTO_TEST_CASE(a_stranger_on_the_port_gets_nothing)
+BOOST_AUTO_TEST_CASE(client_with_wrong_secret_is_rejected)
 {
     ProcessFleet fleet;
     const CommandResult stranger = runCommand(
--- a/tests/process/freshness_test.cpp
+++ b/tests/process/freshness_test.cpp
@@ -1,4 +1,4 @@
-/** @file freshness_test.cpp  No entry serves under a state that may be out of date. */
+/** @file freshness_test.cpp  No entry serves requests based on fleet state that may be outdated. */
 #define BOOST_TEST_MODULE freshness
 #include <boost/test/unit_test.hpp>
 
@@ -27,11 +27,11 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(a_silently_isolated_leader_can_not_serve_a_withdrawn_key)
+BOOST_AUTO_TEST_CASE(partitioned_leader_can_not_serve_a_withdrawn_key)
 {
     ProcessFleet fleet(threeControls());
     ControlProbe probe(fleet);
-    const std::size_t isolated = probe.leader(); // Both entries and the operator's tool follow it.
+    const std::size_t isolated = probe.leader(); // Both entries and chestnuthook-ctl are connected to it.
     const std::string issued = fleet.ctl({"keys", "issue", fleet.tenant}).output;
     const std::string id = issued.substr(3, issued.find('\n') - 3);
     const std::size_t at = issued.find("key chk-") + 4;
@@ -42,7 +42,7 @@
         }));
     }
     probe.setFault(isolated, true, false);
-    BOOST_TEST(fleet.ctl({"keys", "withdraw", id}).exitCode == 0); // Finds the new leader by itself.
+    BOOST_TEST(fleet.ctl({"keys", "withdraw", id}).exitCode == 0); // chestnuthook-ctl finds the new leader itself.
     for (std::size_t entry : {0, 1}) {
         BOOST_TEST(waitUntil([&]() {
             return createStatus(fleet, key, entry) == 401;
@@ -53,7 +53,7 @@
     const auto status = probe.status(isolated);
     BOOST_TEST((status && !status->confirmed));
     BOOST_TEST(!probe.submit(isolated, applyCommand(status->revision, "at-isolated", "{}")).has_value());
-    // Others go on being served, and the member follows again after the fault.
+    // Other keys are still served, and the member catches up after the fault.
     BOOST_TEST(fleet.ask(0, "POST", "/v1/programs", "{}").status == 201);
     const std::uint64_t revision = probe.status(next)->revision;
     BOOST_TEST(probe.submit(next, applyCommand(revision, "while-isolated", "{}")).has_value());
@@ -65,10 +65,10 @@
     BOOST_TEST(createStatus(fleet, key, 0) == 401);
 }
 
-BOOST_AUTO_TEST_CASE(a_stream_of_a_withdrawn_key_ends_at_an_entry_that_followed_the_isolated_leader)
+BOOST_AUTO_TEST_CASE(stream_of_withdrawn_key_ends_at_entry_of_partitioned_leader)
 {
     FleetSize size = threeControls();
-    size.engineFlags = {"--token_ms=1500"}; // An answer has eight tokens or more: twelve seconds.
+    size.engineFlags = {"--token_ms=1500"}; // An answer has at least eight tokens and so takes 12 s or more.
     ProcessFleet fleet(size);
     ControlProbe probe(fleet);
     const std::string issued = fleet.ctl({"keys", "issue", fleet.tenant}).output;
@@ -87,12 +87,12 @@
     probe.setFault(probe.leader(), true, false);
     BOOST_TEST(fleet.ctl({"keys", "withdraw", id}).exitCode == 0);
     caller.join();
-    BOOST_TEST((answer.status == 200 || answer.status == 401)); // By whether a token had come.
+    BOOST_TEST((answer.status == 200 || answer.status == 401)); // Depends on whether a token was sent before.
     BOOST_TEST(answer.body.find("[DONE]") == std::string::npos, answer.body);
     BOOST_TEST(answer.body.find("unknown_key") != std::string::npos, answer.body);
 }
 
-BOOST_AUTO_TEST_CASE(an_entry_without_a_confirmed_read_admits_nothing_and_says_so)
+BOOST_AUTO_TEST_CASE(entry_without_confirmed_state_rejects_requests)
 {
     ProcessFleet fleet(threeControls());
     ControlProbe probe(fleet);
@@ -106,7 +106,7 @@
     }));
     BOOST_TEST(refused.body.find("\"ran\":\"no\"") != std::string::npos, refused.body);
     BOOST_TEST(http(fleet.entryAddresses[0], "GET", "/readyz").status == 503);
-    // A restarted process holds nothing, and must not take the empty state for the current one.
+    // A restarted process has no state and must not take its empty state for the current one.
     fleet.startEntry(1);
     BOOST_TEST(waitUntil([&]() {
         return http(fleet.entryAddresses[1], "GET", "/healthz").status == 200;
@@ -122,7 +122,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(entries_leave_a_member_that_does_not_answer_them)
+BOOST_AUTO_TEST_CASE(entries_switch_away_from_unresponsive_member)
 {
     ProcessFleet fleet(threeControls());
     ControlProbe probe(fleet);
--- a/tests/process/membership_test.cpp
+++ b/tests/process/membership_test.cpp
@@ -1,4 +1,4 @@
-/** @file membership_test.cpp  Repair of the control members. */
+/** @file membership_test.cpp  Replacement of lost and wiped control members. */
 #define BOOST_TEST_MODULE membership
 #include <boost/test/unit_test.hpp>
 
@@ -16,7 +16,7 @@
 {
     FleetSize size;
     size.controls = 3;
-    size.controlFlags = {"--snapshot_entries=20"}; // So that a new member is brought up by a snapshot.
+    size.controlFlags = {"--snapshot_entries=20"}; // So that a new member catches up from a snapshot.
     return size;
 }
 
@@ -43,7 +43,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(a_second_loss_right_after_a_finished_repair_loses_nothing)
+BOOST_AUTO_TEST_CASE(second_member_loss_after_repair_loses_nothing)
 {
     ProcessFleet fleet(threeControls());
     ControlProbe probe(fleet);
@@ -64,12 +64,12 @@
     const std::string list = fleet.ctl({"members", "list"}).output;
     BOOST_TEST(list.find(controlName(3) + ".") != std::string::npos, list);
     BOOST_TEST(list.find(controlName(lost) + ".") == std::string::npos, list);
-    BOOST_TEST(waitUntil([&]() { // The entry finds the leader, also where that is the new member.
+    BOOST_TEST(waitUntil([&]() { // The entry finds the leader, also if that is the new member.
         return fleet.ask(0, "POST", "/v1/programs", "{}").status == 201;
     }));
 }
 
-BOOST_AUTO_TEST_CASE(a_wiped_member_has_no_vote_under_its_old_identity)
+BOOST_AUTO_TEST_CASE(wiped_member_has_no_vote_under_its_old_identity)
 {
     ProcessFleet fleet(threeControls());
     ControlProbe probe(fleet);
@@ -77,7 +77,7 @@
     kill(fleet, wiped);
     std::filesystem::remove_all(fleet.folder + "/" + controlName(wiped));
     fleet.startControl(wiped);
-    // With one of the two others gone there is no quorum: the wiped member must not make one.
+    // With one of the other two down there is no quorum; the wiped member must not complete one.
     const std::size_t gone = (wiped + 1) % 3;
     const std::size_t left = (wiped + 2) % 3;
     kill(fleet, gone);
@@ -104,7 +104,7 @@
     }));
 }
 
-BOOST_AUTO_TEST_CASE(the_first_member_by_name_founds_no_second_group_after_a_wipe)
+BOOST_AUTO_TEST_CASE(wiped_first_member_bootstraps_no_second_group)
 {
     ProcessFleet fleet(threeControls());
     ControlProbe probe(fleet);
--- a/tests/support/connection_server.cpp
+++ b/tests/support/connection_server.cpp
@@ -1,4 +1,4 @@
-/** @file connection_server.cpp  Threads of the stand-ins' port. */
+/** @file connection_server.cpp  Accept loop and connection threads of the test server. */
 #include "support/connection_server.h"
 
 #include <utility>
@@ -11,7 +11,7 @@
 namespace
 {
 
-const Poco::Timespan LookTime(0, 20000); ///< Until the end of the server is looked for again.
+const Poco::Timespan StopCheckInterval(0, 20000); ///< Interval at which the accept loop checks whether to stop.
 
 } // namespace
 
@@ -19,30 +19,30 @@
     : socket(Poco::Net::SocketAddress(ip, 0))
     , address(this->socket.address().toString())
     , serve(std::move(serve))
-    , accepting([this]() {
-        this->accept();
+    , acceptThread([this]() {
+        this->acceptLoop();
     })
 {
 }
 
 ConnectionServer::~ConnectionServer()
 {
-    this->ending = true;
-    this->accepting.join();
-    for (std::thread &one : this->connections) {
-        one.join();
+    this->stopping = true;
+    this->acceptThread.join();
+    for (std::thread &thread : this->connectionThreads) {
+        thread.join();
     }
 }
 
-void ConnectionServer::accept()
+void ConnectionServer::acceptLoop()
 {
-    while (!this->ending) {
-        if (this->socket.poll(LookTime, Poco::Net::Socket::SELECT_READ)) {
-            this->connections.emplace_back([this, connection = this->socket.acceptConnection()]() mutable {
+    while (!this->stopping) {
+        if (this->socket.poll(StopCheckInterval, Poco::Net::Socket::SELECT_READ)) {
+            this->connectionThreads.emplace_back([this, connection = this->socket.acceptConnection()]() mutable {
                 try {
-                    this->serve(connection, this->ending);
+                    this->serve(connection, this->stopping);
                 } catch (const Poco::Exception &) {
-                    // One side is gone; the other sees its connection end.
+                    // One peer is gone; the end of this handler closes the connection to the other one.
                 }
             });
         }
--- a/tests/support/connection_server.h
+++ b/tests/support/connection_server.h
@@ -1,4 +1,4 @@
-/** @file connection_server.h  A loopback port for stand-ins: each connection is served on a thread of its own. */
+/** @file connection_server.h  A loopback TCP server for tests that serves each connection on its own thread. */
 #pragma once
 
 #include <atomic>
@@ -17,7 +17,7 @@
 {
 public:
     /** Serves one connection until it ends or @p ending is set; a Poco::Exception ends it too. */
-    using Serve = std::function<void(Poco::Net::StreamSocket &connection, const std::atomic<bool> &ending)>;
+    using Serve = std::function<void(Poco::Net::StreamSocket &connection, const std::atomic<bool> &stopping)>;
 
     /** Listens on a free port of @p ip. */
     ConnectionServer(const std::string &ip, Serve serve);
@@ -26,18 +26,18 @@
     ConnectionServer &operator=(const ConnectionServer &) = delete;
 
 private:
-    void accept();
+    void acceptLoop();
 
-    Poco::Net::ServerSocket socket; ///< Listens.
+    Poco::Net::ServerSocket socket; ///< Listening socket.
 
 public:
     const std::string address; ///< ip:port.
 
 private:
-    Serve serve; ///< As given.
-    std::atomic<bool> ending{false}; ///< Ends all threads.
-    std::list<std::thread> connections; ///< One each.
-    std::thread accepting; ///< Last, so that it starts when the rest stands.
+    Serve serve; ///< Connection handler.
+    std::atomic<bool> stopping{false}; ///< Tells all threads to end.
+    std::list<std::thread> connectionThreads; ///< One thread per connection.
+    std::thread acceptThread; ///< Declared last, so that it starts after all other members exist.
 };
 
 } // namespace Chestnuthook::Testing
--- a/tests/support/control_probe.cpp
+++ b/tests/support/control_probe.cpp
@@ -1,4 +1,4 @@
-/** @file control_probe.cpp  Calls to single control members. */
+/** @file control_probe.cpp  RPC calls to individual control members. */
 #include "support/control_probe.h"
 
 #include <stdexcept>
@@ -13,7 +13,7 @@
 namespace
 {
 
-constexpr auto AnswerTime = 1500 * kj::MILLISECONDS;
+constexpr auto ReplyTimeout = 1500 * kj::MILLISECONDS;
 
 } // namespace
 
@@ -23,26 +23,26 @@
 {
 }
 
-void ControlProbe::wake()
+void ControlProbe::updateLoopTime()
 {
     this->loop.wait(this->loop.kjTimer().afterDelay(1 * kj::MILLISECONDS));
 }
 
 std::optional<ProbedStatus> ControlProbe::status(std::size_t index)
 {
-    this->wake();
+    this->updateLoopTime();
     RpcLink link(this->loop.rpc(), this->fleet.controlAddresses.at(index));
-    auto asked = link.services()
-                     .then([](OfferedServices &&services) {
-                         return services.control.statusRequest().send();
-                     })
-                     .then([](auto &&response) {
-                         const auto status = response.getStatus();
-                         return std::optional<ProbedStatus>(ProbedStatus{textOf(status.getLeader()), status.getTerm(),
-                             status.getRevision(), status.getConfirmed()});
-                     });
+    auto reported = link.services()
+                        .then([](OfferedServices &&services) {
+                            return services.control.statusRequest().send();
+                        })
+                        .then([](auto &&response) {
+                            const auto status = response.getStatus();
+                            return std::optional<ProbedStatus>(ProbedStatus{textOf(status.getLeader()),
+                                status.getTerm(), status.getRevision(), status.getConfirmed()});
+                        });
     return this->loop.wait(
-        this->loop.kjTimer().timeoutAfter(AnswerTime, kj::mv(asked)).catch_([](kj::Exception && /*exception*/) {
+        this->loop.kjTimer().timeoutAfter(ReplyTimeout, kj::mv(reported)).catch_([](kj::Exception && /*exception*/) {
             return std::optional<ProbedStatus>();
         }));
 }
@@ -60,14 +60,14 @@
         return found.has_value();
     });
     if (!found) {
-        throw std::runtime_error("no leader");
+        throw std::runtime_error("no control member was confirmed as leader in time");
     }
     return *found;
 }
 
 void ControlProbe::setFault(std::size_t index, bool dropMembers, bool dropEntries)
 {
-    this->wake();
+    this->updateLoopTime();
     RpcLink link(this->loop.rpc(), this->fleet.controlAddresses.at(index));
     this->loop.wait(link.services().then([=](OfferedServices &&services) {
         auto request = services.control.setTestFaultRequest();
@@ -91,7 +91,7 @@
                         const auto result = response.getResult();
                         return result.isReply() ? bytesOf(result.getReply()) : std::string();
                     });
-    return this->loop.kjTimer().timeoutAfter(AnswerTime, kj::mv(sent)).catch_([](kj::Exception && /*exception*/) {
+    return this->loop.kjTimer().timeoutAfter(ReplyTimeout, kj::mv(sent)).catch_([](kj::Exception && /*exception*/) {
         return std::string();
     });
 }
@@ -99,7 +99,7 @@
 std::optional<std::string> ControlProbe::submit(
     std::size_t index, const std::string &command, const std::string &requestId)
 {
-    this->wake();
+    this->updateLoopTime();
     RpcLink link(this->loop.rpc(), this->fleet.controlAddresses.at(index));
     const std::string reply = this->loop.wait(this->send(link, command, requestId));
     return reply.empty() ? std::nullopt : std::optional<std::string>(reply);
@@ -107,7 +107,7 @@
 
 std::vector<std::string> ControlProbe::submitTogether(std::size_t index, const std::vector<std::string> &commands)
 {
-    this->wake();
+    this->updateLoopTime();
     RpcLink link(this->loop.rpc(), this->fleet.controlAddresses.at(index));
     kj::Vector<kj::Promise<std::string>> sent;
     for (const std::string &command : commands) {
--- a/tests/support/control_probe.h
+++ b/tests/support/control_probe.h
@@ -1,4 +1,4 @@
-/** @file control_probe.h  Talks to single control members, for tests that must know which one answers. */
+/** @file control_probe.h  Calls individual control members, for tests that must know which one answers. */
 #pragma once
 
 #include <cstdint>
@@ -12,47 +12,47 @@
 namespace Chestnuthook::Testing
 {
 
-/** What one member says of itself. */
+/** Status reported by one member. */
 struct ProbedStatus
 {
-    std::string leader; ///< Address of the leader that it knows; may be empty.
-    std::uint64_t term = 0; ///< Its term.
-    std::uint64_t revision = 0; ///< Of the declarations.
-    bool confirmed = false; ///< A quorum confirmed the answer.
+    std::string leader; ///< Address of the leader known to it; may be empty.
+    std::uint64_t term = 0; ///< Current term.
+    std::uint64_t revision = 0; ///< Revision of the declarations.
+    bool confirmed = false; ///< Whether a quorum confirmed this status.
 };
 
 class ControlProbe
 {
 public:
-    /** For the members of @p fleet, which outlives this. */
+    /** @p fleet must outlive this. */
     explicit ControlProbe(const ProcessFleet &fleet);
 
-    /** Nothing where the member doesn't answer. */
+    /** Status of a member; empty if it doesn't answer. */
     std::optional<ProbedStatus> status(std::size_t index);
 
-    /** Index of the member that leads and is confirmed; waits for one other than @p except. @throws where none comes.
-     */
+    /** Waits for a leader other than @p except that a quorum confirms. @return its index. @throws std::runtime_error if
+     * there is none in time. */
     std::size_t leader(std::optional<std::size_t> except = std::nullopt);
 
     void setFault(std::size_t index, bool dropMembers, bool dropEntries);
 
-    /** Sends a fleet command to one member. @return its reply, or nothing where it refused or didn't answer. */
+    /** Sends a fleet command to one member. @return its reply; empty if it rejected the command or didn't answer. */
     std::optional<std::string> submit(std::size_t index, const std::string &command, const std::string &requestId = "");
 
-    /** Sends all commands at once to one member. @return the replies, empty where there was none. */
+    /** Sends all commands concurrently to one member. @return the replies; a missing reply is empty. */
     std::vector<std::string> submitTogether(std::size_t index, const std::vector<std::string> &commands);
 
-    ControlLoop loop; ///< Runs while a call waits; the one of this thread.
+    ControlLoop loop; ///< Event loop of this thread; runs only during calls.
 
 private:
-    /** Lets the loop see how late it is; it stood still since the last call, and timeouts count from its time. */
-    void wake();
+    /** Updates the time of the event loop, which is from the end of the last call; timeouts are counted from it. */
+    void updateLoopTime();
     kj::Promise<std::string> send(RpcLink &link, const std::string &command, const std::string &requestId);
 
-    const ProcessFleet &fleet; ///< Whose members these are.
+    const ProcessFleet &fleet; ///< Fleet of the called members.
 };
 
-/** A flat apply command that sets @p json as the service `probe`, for @p expectedRevision. */
+/** Flat apply command that sets the service `probe` to @p json, based on @p expectedRevision. */
 std::string applyCommand(std::uint64_t expectedRevision, const std::string &requestId, const std::string &json);
 
 } // namespace Chestnuthook::Testing
--- a/tests/unit/lease_keeper_test.cpp
+++ b/tests/unit/lease_keeper_test.cpp
@@ -1,4 +1,4 @@
-/** @file lease_keeper_test.cpp  When the leader may end an entry's lease. */
+/** @file lease_keeper_test.cpp  Tests when the leader may end the lease of an entry. */
 #define BOOST_TEST_MODULE lease_keeper
 #include <boost/test/unit_test.hpp>
 
@@ -12,13 +12,13 @@
 namespace
 {
 
-constexpr Duration Short = std::chrono::milliseconds(1);
+constexpr Duration OneMillisecond = std::chrono::milliseconds(1);
 
-EntryContact heardAt(Instant instant)
+EntryContact contactAt(Instant instant)
 {
-    EntryContact said{};
-    said.heard = instant;
-    return said;
+    EntryContact contact{};
+    contact.lastHeard = instant;
+    return contact;
 }
 
 FleetState stateWithLease(const std::string &id)
@@ -34,22 +34,22 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(a_lease_ends_a_period_and_a_margin_after_its_holder_was_heard)
+BOOST_AUTO_TEST_CASE(lease_expires_after_its_duration_and_margin)
 {
     const FleetState state = stateWithLease("a");
-    LeaseKeeper keeper;
-    keeper.recordContact(EntryId{"a"}, heardAt(Instant(0)));
-    BOOST_TEST(keeper.markExpired(state, Instant(0) + LeasePeriod + LeaseMargin).empty());
-    BOOST_TEST(keeper.markExpired(state, Instant(0) + LeasePeriod + LeaseMargin + Short).size() == 1U);
+    LeaseKeeper leases;
+    leases.recordContact(EntryId{"a"}, contactAt(Instant(0)));
+    BOOST_TEST(leases.markExpired(state, Instant(0) + LeaseDuration + LeaseExpiryMargin).empty());
+    BOOST_TEST(leases.markExpired(state, Instant(0) + LeaseDuration + LeaseExpiryMargin + OneMillisecond).size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(a_new_leader_gives_each_lease_a_whole_period_also_where_it_led_before)
+BOOST_AUTO_TEST_CASE(new_leader_extends_leases_also_if_it_led_before)
 {
     const FleetState state = stateWithLease("a");
-    LeaseKeeper keeper;
-    keeper.recordContact(EntryId{"a"}, heardAt(Instant(0))); // In an earlier term.
-    const Instant elected = Instant(0) + 10 * LeasePeriod;
-    keeper.beginTerm(state, elected);
-    BOOST_TEST(keeper.markExpired(state, elected + LeasePeriod + LeaseMargin).empty());
-    BOOST_TEST(keeper.markExpired(state, elected + LeasePeriod + LeaseMargin + Short).size() == 1U);
+    LeaseKeeper leases;
+    leases.recordContact(EntryId{"a"}, contactAt(Instant(0))); // In an earlier term.
+    const Instant elected = Instant(0) + 10 * LeaseDuration;
+    leases.beginTerm(state, elected);
+    BOOST_TEST(leases.markExpired(state, elected + LeaseDuration + LeaseExpiryMargin).empty());
+    BOOST_TEST(leases.markExpired(state, elected + LeaseDuration + LeaseExpiryMargin + OneMillisecond).size() == 1U);
 }
