--- a/fuzz/log_record_fuzz.cpp
+++ b/fuzz/log_record_fuzz.cpp
@@ -1,5 +1,5 @@
-/** @file log_record_fuzz.cpp  Records of the data folder: whatever bytes a file holds, reading stays inside them, and a
- * record with a changed byte is never taken for a whole one of the same content. */
+/** @file log_record_fuzz.cpp  Fuzzes the records of log files: reading never leaves the input, and a record with a
+ * changed byte is never accepted. */
 #include "consensus/log_record_internal.h"
 #include "fuzz_input.h"
 
@@ -8,18 +8,18 @@
 namespace
 {
 
-/** Walks the records of a file as opening does. */
-void walk(std::string_view bytes)
+/** Replays the records of a file as RaftStorage does when it opens a log. */
+void replayFile(std::string_view bytes)
 {
-    RaftRestored restored;
-    std::size_t at = 0;
-    while (const auto found = parseRecord(bytes, at)) {
-        Fuzz::require(found->payload.data() >= bytes.data() + at);
+    RaftPersistentState restored;
+    std::size_t offset = 0;
+    while (const auto found = parseRecord(bytes, offset)) {
+        Fuzz::require(found->payload.data() >= bytes.data() + offset);
         Fuzz::require(found->payload.data() + found->payload.size() <= bytes.data() + bytes.size());
-        if (!takeRecord(restored, found->payload)) {
+        if (!replayRecord(restored, found->payload)) {
             return;
         }
-        at += RecordHeaderBytes + found->payload.size();
+        offset += RecordHeaderBytes + found->payload.size();
     }
 }
 
@@ -29,11 +29,11 @@
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t *data, std::size_t size)
 {
     const std::string input = Fuzz::textOf(data, size);
-    walk(input);
-    RaftRestored restored;
-    static_cast<void>(takeRecord(restored, input));
+    replayFile(input);
+    RaftPersistentState restored;
+    static_cast<void>(replayRecord(restored, input));
     RaftSnapshot snapshot;
-    static_cast<void>(takeSnapshot(snapshot, input));
+    static_cast<void>(decodeSnapshot(snapshot, input));
     if (size < 3) {
         return 0;
     }
@@ -42,6 +42,6 @@
     file[data[0] % file.size()] ^= static_cast<char>(data[1]);
     const auto found = parseRecord(file, 0);
     Fuzz::require(data[1] == 0 ? found && found->payload == input.substr(2) : !found);
-    walk(file);
+    replayFile(file);
     return 0;
 }
--- a/src/consensus/log_record_func.cpp
+++ b/src/consensus/log_record_func.cpp
@@ -1,4 +1,4 @@
-/** @file log_record_func.cpp  Records as bytes; numbers are little-endian. */
+/** @file log_record_func.cpp  Encodes and decodes records; numbers are little-endian. */
 #include <cstring>
 
 #include "consensus/log_record_internal.h"
@@ -11,24 +11,24 @@
 {
 
 constexpr std::size_t CheckedHeaderBytes = 16;
-constexpr std::size_t ChecksumAt = 4;
-constexpr std::size_t BatchAt = 8;
+constexpr std::size_t ChecksumOffset = 4;
+constexpr std::size_t BatchOffset = 8;
 
 template<typename Number>
-void addNumber(std::string &bytes, Number number)
+void appendNumber(std::string &bytes, Number number)
 {
     bytes.append(reinterpret_cast<const char *>(&number), sizeof number);
 }
 
 template<typename Number>
-Number numberAt(std::string_view bytes, std::size_t at)
+Number readNumberAt(std::string_view bytes, std::size_t offset)
 {
     Number number = 0;
-    std::memcpy(&number, bytes.data() + at, sizeof number);
+    std::memcpy(&number, bytes.data() + offset, sizeof number);
     return number;
 }
 
-/** Reads the fields of a payload one after the other. */
+/** Reads the fields of a payload in sequence. */
 class PayloadReader
 {
 public:
@@ -36,41 +36,41 @@
         : bytes(bytes)
     {
     }
-    std::uint64_t number()
+    std::uint64_t readNumber()
     {
-        if (this->at + sizeof(std::uint64_t) > this->bytes.size()) {
-            this->whole = false;
+        if (this->offset + sizeof(std::uint64_t) > this->bytes.size()) {
+            this->complete = false;
             return 0;
         }
-        const auto value = numberAt<std::uint64_t>(this->bytes, this->at);
-        this->at += sizeof value;
+        const auto value = readNumberAt<std::uint64_t>(this->bytes, this->offset);
+        this->offset += sizeof value;
         return value;
     }
-    std::string text()
+    std::string readText()
     {
-        const std::uint64_t length = this->number();
-        if (!this->whole || length > this->bytes.size() - this->at) {
-            this->whole = false;
+        const std::uint64_t length = this->readNumber();
+        if (!this->complete || length > this->bytes.size() - this->offset) {
+            this->complete = false;
             return {};
         }
-        std::string value(this->bytes.substr(this->at, length));
-        this->at += length;
+        std::string value(this->bytes.substr(this->offset, length));
+        this->offset += length;
         return value;
     }
 
     std::string_view bytes; ///< The payload.
-    std::size_t at = 1; ///< After the kind.
-    bool whole = true; ///< No field was missing.
+    std::size_t offset = 1; ///< Offset of the next field; starts after the kind.
+    bool complete = true; ///< False once a field was missing or cut.
 };
 
-std::string payloadOf(RecordKind kind)
+std::string beginPayload(RecordKind kind)
 {
     return {static_cast<char>(kind)};
 }
 
-void addText(std::string &bytes, std::string_view text)
+void appendText(std::string &bytes, std::string_view text)
 {
-    addNumber<std::uint64_t>(bytes, text.size());
+    appendNumber<std::uint64_t>(bytes, text.size());
     bytes.append(text);
 }
 
@@ -79,104 +79,104 @@
 void appendRecord(std::string &bytes, std::uint64_t batch, std::string_view payload)
 {
     std::string header;
-    addNumber(header, static_cast<std::uint32_t>(payload.size()));
-    addNumber(header, checksum32(payload));
-    addNumber(header, batch);
-    addNumber(header, checksum32(header));
+    appendNumber(header, static_cast<std::uint32_t>(payload.size()));
+    appendNumber(header, checksum32(payload));
+    appendNumber(header, batch);
+    appendNumber(header, checksum32(header));
     bytes += header;
     bytes.append(payload);
 }
 
-std::optional<ParsedRecord> parseRecord(std::string_view bytes, std::size_t at)
+std::optional<ParsedRecord> parseRecord(std::string_view bytes, std::size_t offset)
 {
-    if (at + RecordHeaderBytes > bytes.size()) {
+    if (offset + RecordHeaderBytes > bytes.size()) {
         return std::nullopt;
     }
-    const std::string_view header = bytes.substr(at, RecordHeaderBytes);
-    if (checksum32(header.substr(0, CheckedHeaderBytes)) != numberAt<std::uint32_t>(header, CheckedHeaderBytes)) {
+    const std::string_view header = bytes.substr(offset, RecordHeaderBytes);
+    if (checksum32(header.substr(0, CheckedHeaderBytes)) != readNumberAt<std::uint32_t>(header, CheckedHeaderBytes)) {
         return std::nullopt;
     }
-    const auto length = numberAt<std::uint32_t>(header, 0);
-    if (length > bytes.size() - at - RecordHeaderBytes) {
+    const auto length = readNumberAt<std::uint32_t>(header, 0);
+    if (length > bytes.size() - offset - RecordHeaderBytes) {
         return std::nullopt;
     }
-    const std::string_view payload = bytes.substr(at + RecordHeaderBytes, length);
-    if (length == 0 || checksum32(payload) != numberAt<std::uint32_t>(header, ChecksumAt)) {
+    const std::string_view payload = bytes.substr(offset + RecordHeaderBytes, length);
+    if (length == 0 || checksum32(payload) != readNumberAt<std::uint32_t>(header, ChecksumOffset)) {
         return std::nullopt;
     }
-    return ParsedRecord{numberAt<std::uint64_t>(header, BatchAt), payload};
+    return ParsedRecord{readNumberAt<std::uint64_t>(header, BatchOffset), payload};
 }
 
-std::string baseRecord(std::uint64_t index, std::uint64_t term, std::uint64_t whole)
+std::string encodeBase(std::uint64_t index, std::uint64_t term, std::uint64_t initialBytes)
 {
-    std::string payload = payloadOf(RecordKind::Base);
-    addNumber(payload, index);
-    addNumber(payload, term);
-    addNumber(payload, whole);
+    std::string payload = beginPayload(RecordKind::Base);
+    appendNumber(payload, index);
+    appendNumber(payload, term);
+    appendNumber(payload, initialBytes);
     return payload;
 }
 
-std::string hardStateRecord(const RaftHardState &hard)
+std::string encodeHardState(const RaftHardState &hardState)
 {
-    std::string payload = payloadOf(RecordKind::HardState);
-    addNumber(payload, hard.term);
-    addText(payload, hard.vote);
+    std::string payload = beginPayload(RecordKind::HardState);
+    appendNumber(payload, hardState.term);
+    appendText(payload, hardState.vote);
     return payload;
 }
 
-std::string entryRecord(const RaftEntry &entry)
+std::string encodeEntry(const RaftEntry &entry)
 {
-    std::string payload = payloadOf(RecordKind::Entry);
-    addNumber(payload, entry.index);
-    addNumber(payload, entry.term);
-    addNumber(payload, static_cast<std::uint64_t>(entry.kind));
-    addText(payload, entry.data);
+    std::string payload = beginPayload(RecordKind::Entry);
+    appendNumber(payload, entry.index);
+    appendNumber(payload, entry.term);
+    appendNumber(payload, static_cast<std::uint64_t>(entry.kind));
+    appendText(payload, entry.data);
     return payload;
 }
 
-std::string snapshotRecord(const RaftSnapshot &snapshot)
+std::string encodeSnapshot(const RaftSnapshot &snapshot)
 {
-    std::string payload = payloadOf(RecordKind::Snapshot);
-    addNumber(payload, snapshot.index);
-    addNumber(payload, snapshot.term);
-    addText(payload, encodeMembership(snapshot.membership));
-    addText(payload, snapshot.data);
+    std::string payload = beginPayload(RecordKind::Snapshot);
+    appendNumber(payload, snapshot.index);
+    appendNumber(payload, snapshot.term);
+    appendText(payload, encodeMembership(snapshot.membership));
+    appendText(payload, snapshot.data);
     return payload;
 }
 
-bool takeSnapshot(RaftSnapshot &snapshot, std::string_view payload)
+bool decodeSnapshot(RaftSnapshot &snapshot, std::string_view payload)
 {
     PayloadReader reader(payload);
-    snapshot.index = reader.number();
-    snapshot.term = reader.number();
-    snapshot.membership = decodeMembership(reader.text());
-    snapshot.data = reader.text();
-    return reader.whole && payload[0] == static_cast<char>(RecordKind::Snapshot);
+    snapshot.index = reader.readNumber();
+    snapshot.term = reader.readNumber();
+    snapshot.membership = decodeMembership(reader.readText());
+    snapshot.data = reader.readText();
+    return reader.complete && payload[0] == static_cast<char>(RecordKind::Snapshot);
 }
 
-bool takeRecord(RaftRestored &restored, std::string_view payload)
+bool replayRecord(RaftPersistentState &restored, std::string_view payload)
 {
     PayloadReader reader(payload);
     if (payload[0] == static_cast<char>(RecordKind::Base)) {
-        restored.baseIndex = reader.number();
-        restored.baseTerm = reader.number();
-        restored.wholeBytes = reader.number();
+        restored.baseIndex = reader.readNumber();
+        restored.baseTerm = reader.readNumber();
+        restored.initialBytes = reader.readNumber();
         restored.entries.clear();
-        return reader.whole;
+        return reader.complete;
     }
     if (payload[0] == static_cast<char>(RecordKind::HardState)) {
-        restored.hardState.term = reader.number();
-        restored.hardState.vote = reader.text();
-        return reader.whole;
+        restored.hardState.term = reader.readNumber();
+        restored.hardState.vote = reader.readText();
+        return reader.complete;
     }
     RaftEntry entry;
-    entry.index = reader.number();
-    entry.term = reader.number();
-    entry.kind = static_cast<RaftEntryKind>(reader.number());
-    entry.data = reader.text();
+    entry.index = reader.readNumber();
+    entry.term = reader.readNumber();
+    entry.kind = static_cast<RaftEntryKind>(reader.readNumber());
+    entry.data = reader.readText();
     const std::uint64_t last = restored.baseIndex + restored.entries.size();
-    const bool follows = entry.index > restored.baseIndex && entry.index <= last + 1;
-    if (payload[0] != static_cast<char>(RecordKind::Entry) || !reader.whole || !follows) {
+    const bool inSequence = entry.index > restored.baseIndex && entry.index <= last + 1;
+    if (payload[0] != static_cast<char>(RecordKind::Entry) || !reader.complete || !inSequence) {
         return false;
     }
     restored.entries.resize(entry.index - restored.baseIndex - 1);
--- a/src/consensus/member_links_base.cpp
+++ b/src/consensus/member_transport_base.cpp
@@ -1,5 +1,5 @@
-/** @file member_links_base.cpp  Sending, and messages on the wire. */
-#include "consensus/member_links_base.h"
+/** @file member_transport_base.cpp  Conversion of Raft messages from and to Cap'n Proto, and their transport. */
+#include "consensus/member_transport_base.h"
 
 #include <utility>
 
@@ -11,8 +11,8 @@
 namespace
 {
 
-constexpr unsigned MaxCallsUnderWay = 16;
-constexpr std::size_t MaxWaiting = 4096;
+constexpr unsigned MaxCallsInFlight = 16;
+constexpr std::size_t MaxQueuedMessages = 4096;
 constexpr auto SendTimeout = 1000 * kj::MILLISECONDS;
 
 void writeEntries(capnp::List<Wire::LogEntry>::Builder list, const std::vector<RaftEntry> &entries)
@@ -61,14 +61,14 @@
     switch (message.kind) {
     case RaftMessageKind::Vote: {
         auto vote = builder.initVote();
-        vote.setPre(message.pre);
+        vote.setPre(message.isPreVote);
         vote.setLastIndex(message.index);
         vote.setLastTerm(message.logTerm);
         break;
     }
     case RaftMessageKind::VoteReply: {
         auto reply = builder.initVoteReply();
-        reply.setPre(message.pre);
+        reply.setPre(message.isPreVote);
         reply.setGranted(message.ok);
         break;
     }
@@ -118,13 +118,13 @@
     switch (reader.which()) {
     case Wire::ConsensusMessage::VOTE:
         message.kind = RaftMessageKind::Vote;
-        message.pre = reader.getVote().getPre();
+        message.isPreVote = reader.getVote().getPre();
         message.index = reader.getVote().getLastIndex();
         message.logTerm = reader.getVote().getLastTerm();
         break;
     case Wire::ConsensusMessage::VOTE_REPLY:
         message.kind = RaftMessageKind::VoteReply;
-        message.pre = reader.getVoteReply().getPre();
+        message.isPreVote = reader.getVoteReply().getPre();
         message.ok = reader.getVoteReply().getGranted();
         break;
     case Wire::ConsensusMessage::APPEND:
@@ -149,54 +149,54 @@
     return message;
 }
 
-MemberLinks::MemberLinks(RpcContext &context, std::string ownAddress)
+MemberTransport::MemberTransport(RpcContext &context, std::string ownAddress)
     : context(context)
     , ownAddress(std::move(ownAddress))
-    , sending(this->failures)
+    , calls(this->failures)
 {
 }
 
-void MemberLinks::setAddress(const std::string &identity, const std::string &address)
+void MemberTransport::setAddress(const std::string &identity, const std::string &address)
 {
     Peer &peer = this->peers[identity];
     if (peer.address != address && !address.empty()) {
         peer.address = address;
         if (peer.link != nullptr) {
-            this->retired.push_back(std::move(peer.link));
+            this->retiredLinks.push_back(std::move(peer.link));
         }
         ++peer.generation;
         peer.link = std::make_unique<RpcLink>(this->context, address);
-        peer.underWay = 0;
+        peer.callsInFlight = 0;
     }
 }
 
-std::string MemberLinks::addressOf(const std::string &identity) const
+std::string MemberTransport::addressOf(const std::string &identity) const
 {
     const auto peer = this->peers.find(identity);
     return peer == this->peers.end() ? "" : peer->second.address;
 }
 
-void MemberLinks::add(RaftMessage message)
+void MemberTransport::enqueue(RaftMessage message)
 {
     const auto peer = this->peers.find(message.to);
-    if (peer != this->peers.end() && peer->second.link != nullptr && peer->second.waiting.size() < MaxWaiting) {
-        peer->second.waiting.push_back(std::move(message));
+    if (peer != this->peers.end() && peer->second.link != nullptr && peer->second.queued.size() < MaxQueuedMessages) {
+        peer->second.queued.push_back(std::move(message));
     }
 }
 
-void MemberLinks::flush()
+void MemberTransport::flush()
 {
     for (auto &[identity, peer] : this->peers) {
-        if (!peer.waiting.empty() && peer.underWay < MaxCallsUnderWay) {
+        if (!peer.queued.empty() && peer.callsInFlight < MaxCallsInFlight) {
             this->sendTo(identity, peer);
         }
     }
 }
 
-void MemberLinks::sendTo(const std::string &identity, Peer &peer)
+void MemberTransport::sendTo(const std::string &identity, Peer &peer)
 {
-    ++peer.underWay;
-    auto messages = std::exchange(peer.waiting, {});
+    ++peer.callsInFlight;
+    auto messages = std::exchange(peer.queued, {});
     RpcLink *link = peer.link.get();
     auto sent =
         link->services().then([messages = std::move(messages), address = this->ownAddress](OfferedServices &&services) {
@@ -208,38 +208,38 @@
             }
             return request.send().ignoreResult();
         });
-    const auto ended = [this, identity, generation = peer.generation](bool failed) {
-        Peer &known = this->peers[identity];
-        if (known.generation != generation) {
-            return; // The connection was given up before.
+    const auto onCallEnded = [this, identity, generation = peer.generation](bool failed) {
+        Peer &current = this->peers[identity];
+        if (current.generation != generation) {
+            return; // The connection was abandoned in the meantime.
         }
-        --known.underWay;
+        --current.callsInFlight;
         if (failed) {
-            ++known.generation;
-            known.underWay = 0;
-            known.link->reset();
-            known.waiting.clear();
-        } else if (!known.waiting.empty() && known.underWay < MaxCallsUnderWay) {
-            this->sendTo(identity, known);
+            ++current.generation;
+            current.callsInFlight = 0;
+            current.link->reset();
+            current.queued.clear();
+        } else if (!current.queued.empty() && current.callsInFlight < MaxCallsInFlight) {
+            this->sendTo(identity, current);
         }
     };
-    this->sending.add(this->context.timer.timeoutAfter(SendTimeout, kj::mv(sent))
-                          .then(
-                              [ended]() {
-                                  ended(false);
-                              },
-                              [ended](kj::Exception && /*exception*/) {
-                                  ended(true);
-                              }));
+    this->calls.add(this->context.timer.timeoutAfter(SendTimeout, kj::mv(sent))
+                        .then(
+                            [onCallEnded]() {
+                                onCallEnded(false);
+                            },
+                            [onCallEnded](kj::Exception && /*exception*/) {
+                                onCallEnded(true);
+                            }));
 }
 
-kj::Promise<capnp::Response<Wire::Member::HelloResults>> MemberLinks::hello(const std::string &address)
+kj::Promise<capnp::Response<Wire::Member::HelloResults>> MemberTransport::hello(const std::string &address)
 {
     auto link = kj::heap<RpcLink>(this->context, address);
-    auto asked = link->services().then([](OfferedServices &&services) {
+    auto identified = link->services().then([](OfferedServices &&services) {
         return services.peer.castAs<Wire::Member>().helloRequest().send();
     });
-    return this->context.timer.timeoutAfter(SendTimeout, kj::mv(asked)).attach(kj::mv(link));
+    return this->context.timer.timeoutAfter(SendTimeout, kj::mv(identified)).attach(kj::mv(link));
 }
 
 } // namespace Chestnuthook
--- a/src/consensus/raft_core_base.cpp
+++ b/src/consensus/raft_core_base.cpp
@@ -1,4 +1,4 @@
-/** @file raft_core_base.cpp  State, inputs and actions of the core. */
+/** @file raft_core_base.cpp  State, inputs and actions of a RaftCore. */
 #include "consensus/raft_core_base.h"
 
 #include <algorithm>
@@ -30,11 +30,11 @@
     return membership;
 }
 
-RaftCore::RaftCore(const RaftSettings &settings, std::string self, std::uint64_t seed, RaftRestored restored)
+RaftCore::RaftCore(const RaftSettings &settings, std::string self, std::uint64_t seed, RaftPersistentState restored)
     : settings(settings)
     , self(std::move(self))
     , random(seed)
-    , hard(std::move(restored.hardState))
+    , currentHardState(std::move(restored.hardState))
     , baseIndex(restored.baseIndex)
     , baseTerm(restored.baseTerm)
     , entries(restored.entries.begin(), restored.entries.end())
@@ -51,13 +51,13 @@
     this->resetElectionTimer();
 }
 
-void RaftCore::found(const RaftMembership &membership)
+void RaftCore::bootstrap(const RaftMembership &membership)
 {
-    if (this->hard.term != 0 || this->lastIndex() != 0) {
+    if (this->currentHardState.term != 0 || this->lastIndex() != 0) {
         return;
     }
     this->setHardState(1, "");
-    this->store(RaftEntry{1, 1, RaftEntryKind::Membership, encodeMembership(membership)});
+    this->appendEntry(RaftEntry{1, 1, RaftEntryKind::Membership, encodeMembership(membership)});
 }
 
 void RaftCore::tick()
@@ -76,31 +76,31 @@
     }
     if (this->currentRole == RaftRole::Leader && this->heartbeatElapsed >= this->settings.heartbeatTicks) {
         this->heartbeatElapsed = 0;
-        this->broadcast(Occasion::Heartbeat);
+        this->broadcast(BroadcastReason::Heartbeat);
     }
 }
 
 void RaftCore::receive(const RaftMessage &message)
 {
     if (message.to != this->self) {
-        return; // Meant for an earlier identity.
+        return; // Addressed to an earlier identity of this member.
     }
     const bool fromLeader = message.kind == RaftMessageKind::Append || message.kind == RaftMessageKind::Snapshot;
     if (message.kind == RaftMessageKind::Vote) {
         this->handleVote(message);
         return;
     }
-    if (message.kind == RaftMessageKind::VoteReply && message.pre && message.ok) {
+    if (message.kind == RaftMessageKind::VoteReply && message.isPreVote && message.ok) {
         this->handleVoteReply(message);
         return;
     }
-    if (message.term < this->hard.term) {
+    if (message.term < this->currentHardState.term) {
         if (fromLeader) {
             this->sendAfterSync(this->makeMessage(RaftMessageKind::AppendReply, message.from));
         }
         return;
     }
-    if (message.term > this->hard.term || (fromLeader && this->currentRole != RaftRole::Leader)) {
+    if (message.term > this->currentHardState.term || (fromLeader && this->currentRole != RaftRole::Leader)) {
         this->becomeFollower(message.term, fromLeader ? message.from : "");
     }
     switch (message.kind) {
@@ -124,16 +124,16 @@
     }
 }
 
-void RaftCore::synced(std::uint64_t batch)
+void RaftCore::batchSynced(std::uint64_t batch)
 {
     this->syncedBatch = std::max(this->syncedBatch, batch);
-    while (!this->batchLast.empty() && this->batchLast.begin()->first <= batch) {
-        this->syncedIndex = std::min(this->batchLast.begin()->second, this->lastIndex());
-        this->batchLast.erase(this->batchLast.begin());
+    while (!this->lastIndexByBatch.empty() && this->lastIndexByBatch.begin()->first <= batch) {
+        this->syncedIndex = std::min(this->lastIndexByBatch.begin()->second, this->lastIndex());
+        this->lastIndexByBatch.erase(this->lastIndexByBatch.begin());
     }
-    while (!this->held.empty() && this->held.front().first <= this->syncedBatch) {
-        this->actions.messages.push_back(std::move(this->held.front().second));
-        this->held.pop_front();
+    while (!this->deferredMessages.empty() && this->deferredMessages.front().first <= this->syncedBatch) {
+        this->actions.messages.push_back(std::move(this->deferredMessages.front().second));
+        this->deferredMessages.pop_front();
     }
     if (this->currentRole == RaftRole::Leader) {
         this->advanceCommit();
@@ -145,7 +145,7 @@
     if (this->currentRole != RaftRole::Leader) {
         return std::nullopt;
     }
-    this->appendOwn(RaftEntryKind::Command, std::move(command));
+    this->appendNewEntry(RaftEntryKind::Command, std::move(command));
     return this->lastIndex();
 }
 
@@ -153,14 +153,14 @@
 {
     if (this->currentRole == RaftRole::Leader) {
         this->startReadRound();
-        this->broadcast(Occasion::Entries);
+        this->broadcast(BroadcastReason::Entries);
     }
     if (this->persistPending) {
         this->actions.batch = this->lastBatch;
-        this->batchLast[this->lastBatch] = this->lastIndex();
+        this->lastIndexByBatch[this->lastBatch] = this->lastIndex();
         this->persistPending = false;
         if (!this->settings.waitForSync) {
-            this->synced(this->lastBatch);
+            this->batchSynced(this->lastBatch);
         }
     }
     return std::exchange(this->actions, RaftActions{});
@@ -179,7 +179,7 @@
     return this->memberships.rbegin()->second;
 }
 
-std::uint64_t RaftCore::matchOf(const std::string &member) const
+std::uint64_t RaftCore::matchIndexOf(const std::string &member) const
 {
     if (member == this->self) {
         return this->syncedIndex;
@@ -190,12 +190,12 @@
 
 bool RaftCore::committedInTerm() const
 {
-    return this->currentRole == RaftRole::Leader && this->termAt(this->commit) == this->hard.term;
+    return this->currentRole == RaftRole::Leader && this->termAt(this->commit) == this->currentHardState.term;
 }
 
 void RaftCore::becomeFollower(std::uint64_t term, const std::string &newLeader)
 {
-    if (term > this->hard.term) {
+    if (term > this->currentHardState.term) {
         this->setHardState(term, "");
     }
     if (this->currentRole == RaftRole::Leader) {
@@ -210,9 +210,9 @@
 
 void RaftCore::setHardState(std::uint64_t term, const std::string &vote)
 {
-    this->hard = RaftHardState{term, vote};
-    this->actions.hardState = this->hard;
-    this->noteBatch();
+    this->currentHardState = RaftHardState{term, vote};
+    this->actions.hardState = this->currentHardState;
+    this->beginBatch();
 }
 
 void RaftCore::resetElectionTimer()
@@ -221,7 +221,7 @@
     this->electionTimeout =
         this->settings.electionTicks + static_cast<unsigned>(this->random() % this->settings.electionTicks);
     if (this->isVoter(this->self) && this->hasQuorum({this->self})) {
-        this->electionTimeout = 1; // Nobody else to wait for.
+        this->electionTimeout = 1; // The only voter needs no other votes.
     }
 }
 
@@ -235,7 +235,7 @@
     if (this->lastBatch <= this->syncedBatch || !this->settings.waitForSync) {
         this->send(std::move(message));
     } else {
-        this->held.emplace_back(this->lastBatch, std::move(message));
+        this->deferredMessages.emplace_back(this->lastBatch, std::move(message));
     }
 }
 
@@ -245,27 +245,27 @@
     message.kind = kind;
     message.from = this->self;
     message.to = to;
-    message.term = this->hard.term;
+    message.term = this->currentHardState.term;
     return message;
 }
 
-void RaftCore::appendOwn(RaftEntryKind kind, std::string data)
+void RaftCore::appendNewEntry(RaftEntryKind kind, std::string data)
 {
-    this->store(RaftEntry{this->hard.term, this->lastIndex() + 1, kind, std::move(data)});
+    this->appendEntry(RaftEntry{this->currentHardState.term, this->lastIndex() + 1, kind, std::move(data)});
 }
 
-void RaftCore::store(const RaftEntry &entry)
+void RaftCore::appendEntry(const RaftEntry &entry)
 {
     this->entries.push_back(entry);
     this->actions.append.push_back(entry);
     if (entry.kind == RaftEntryKind::Membership) {
         this->memberships[entry.index] = decodeMembership(entry.data);
-        this->followMembership();
+        this->updateProgress();
     }
-    this->noteBatch();
+    this->beginBatch();
 }
 
-void RaftCore::noteBatch()
+void RaftCore::beginBatch()
 {
     if (!this->persistPending) {
         ++this->lastBatch;
--- a/src/consensus/raft_core_base.h
+++ b/src/consensus/raft_core_base.h
@@ -1,5 +1,5 @@
-/** @file raft_core_base.h  The replicated log's rules as a pure function of its inputs: messages, ticks, proposals and
- * notices of what was synced go in, actions come out. */
+/** @file raft_core_base.h  The Raft protocol as a deterministic state machine without I/O: messages, ticks, proposals
+ * and sync notifications go in, actions come out. */
 #pragma once
 
 #include <cstdint>
@@ -17,33 +17,34 @@
 namespace Chestnuthook
 {
 
-/** One member. After each input its owner takes the actions and carries them out in their order. */
+/** Raft state of one member. After each input its owner takes the actions and executes them in order. */
 class RaftCore
 {
 public:
-    RaftCore(const RaftSettings &settings, std::string self, std::uint64_t seed, RaftRestored restored);
+    RaftCore(const RaftSettings &settings, std::string self, std::uint64_t seed, RaftPersistentState restored);
 
-    /** Writes the first entry of a new group: its membership. Only for a member with an empty log and term 0. */
-    void found(const RaftMembership &membership);
+    /** Bootstraps a new group by writing its membership as first entry. Ignored unless the log is empty and the term 0.
+     */
+    void bootstrap(const RaftMembership &membership);
 
     void tick();
     void receive(const RaftMessage &message);
 
-    /** Everything up to @p batch lasts. */
-    void synced(std::uint64_t batch);
+    /** Reports that all batches up to @p batch are durable. */
+    void batchSynced(std::uint64_t batch);
 
-    /** @return the entry's index, or nothing where this member doesn't lead. */
+    /** Appends a command. @return the entry's index, or nothing if this member doesn't lead. */
     std::optional<std::uint64_t> propose(std::string command);
 
-    /** Proposes @p next, which differs from the current membership in one member. @return its index, or nothing where
-     * this member doesn't lead, has not committed in its term, or another change is under way. */
+    /** Proposes @p next, which must differ from the current membership in one member. @return its index, or nothing if
+     * this member doesn't lead, has not committed in its term, or another change is uncommitted. */
     std::optional<std::uint64_t> proposeMembership(const RaftMembership &next);
 
-    /** Asks for a confirmed read. @return an id that comes back in the actions, or nothing where this isn't the leader.
+    /** Requests a confirmed read. @return an id that is returned in the actions, or nothing if this isn't the leader.
      */
     std::optional<std::uint64_t> requestRead();
 
-    /** The owner holds a snapshot at @p index, which is applied; entries before @p keepFrom are dropped. */
+    /** Registers a snapshot of the applied state at @p index and drops entries before @p keepFrom. */
     void compact(std::uint64_t index, std::string data, std::uint64_t keepFrom);
 
     [[nodiscard]] RaftActions takeActions();
@@ -54,7 +55,7 @@
     }
     [[nodiscard]] const RaftHardState &hardState() const
     {
-        return this->hard;
+        return this->currentHardState;
     }
     [[nodiscard]] const std::string &leader() const
     {
@@ -82,33 +83,34 @@
     {
         return this->lastSnapshot;
     }
-    /** Highest index that @p member has said to hold, synced; meaningful at the leader. */
-    [[nodiscard]] std::uint64_t matchOf(const std::string &member) const;
-    /** Whether the leader has committed an entry of its own term, so that reads and membership changes may go on. */
+    /** Highest index that @p member has acknowledged as durable; valid at the leader only. */
+    [[nodiscard]] std::uint64_t matchIndexOf(const std::string &member) const;
+    /** Whether this member leads and has committed an entry of its own term, as reads and membership changes require.
+     */
     [[nodiscard]] bool committedInTerm() const;
 
 private:
-    /** What the leader knows of another member. */
+    /** Replication state of another member at the leader. */
     struct Progress
     {
-        std::uint64_t match = 0; ///< Held and synced there.
-        std::uint64_t next = 1; ///< First entry to send.
-        bool probing = true; ///< One message at a time until the logs are known to meet.
-        bool probeSent = false; ///< The probe is under way; a heartbeat sends the next.
-        bool heard = false; ///< A reply came since the last check of the quorum.
-        std::uint64_t readContext = 0; ///< Latest read round that it answered.
-        std::uint64_t snapshotIndex = 0; ///< Snapshot under transfer; 0 for none.
-        std::uint64_t snapshotOffset = 0; ///< Bytes of it that arrived.
+        std::uint64_t match = 0; ///< Highest index known to be durable there.
+        std::uint64_t next = 1; ///< Next entry to send.
+        bool probing = true; ///< Send one message at a time until the logs are known to match.
+        bool probeSent = false; ///< A probe was sent; the next heartbeat sends another one.
+        bool active = false; ///< It replied since the last quorum check.
+        std::uint64_t readContext = 0; ///< Latest read round that it acknowledged.
+        std::uint64_t snapshotIndex = 0; ///< Index of the snapshot being sent; 0 for none.
+        std::uint64_t snapshotOffset = 0; ///< Bytes of it that were acknowledged.
     };
     struct PendingRead
     {
-        std::uint64_t id = 0; ///< For the owner.
-        std::uint64_t context = 0; ///< Round that confirms it; 0 until one is sent.
-        std::uint64_t index = 0; ///< Commit index when the round was sent.
+        std::uint64_t id = 0; ///< Id returned by requestRead.
+        std::uint64_t context = 0; ///< Read round that confirms it; 0 until the round starts.
+        std::uint64_t index = 0; ///< Commit index when the round started.
     };
 
-    /** Why all members are sent to. */
-    enum class Occasion : std::uint8_t { Entries, Commit, Heartbeat };
+    /** Why a message goes to all members. */
+    enum class BroadcastReason : std::uint8_t { Entries, Commit, Heartbeat };
 
     // raft_core_base.cpp
     void becomeFollower(std::uint64_t term, const std::string &newLeader);
@@ -117,32 +119,32 @@
     void send(RaftMessage message);
     void sendAfterSync(RaftMessage message);
     RaftMessage makeMessage(RaftMessageKind kind, const std::string &to) const;
-    void appendOwn(RaftEntryKind kind, std::string data);
-    void store(const RaftEntry &entry);
-    void noteBatch();
+    void appendNewEntry(RaftEntryKind kind, std::string data);
+    void appendEntry(const RaftEntry &entry);
+    void beginBatch();
     [[nodiscard]] bool isVoter(const std::string &member) const;
     [[nodiscard]] bool hasQuorum(const std::set<std::string> &members) const;
     void failReads();
 
     // raft_election.cpp
-    void campaign(bool pre);
+    void campaign(bool isPreVote);
     void handleVote(const RaftMessage &message);
     void handleVoteReply(const RaftMessage &message);
     void becomeLeader();
-    [[nodiscard]] bool hearsLeader() const;
+    [[nodiscard]] bool hasActiveLeader() const;
 
     // raft_replication.cpp
-    void broadcast(Occasion occasion);
-    void sendAppend(const std::string &member, Progress &known, bool evenEmpty);
-    void sendSnapshot(const std::string &member, Progress &known);
+    void broadcast(BroadcastReason reason);
+    void sendAppend(const std::string &member, Progress &follower, bool allowEmpty);
+    void sendSnapshot(const std::string &member, Progress &follower);
     void handleAppend(const RaftMessage &message);
-    /** Notes at the leader that a follower answered. @return what the leader knows of it; null where that is nothing.
-     */
-    Progress *hearFrom(const RaftMessage &message);
+    /** Records at the leader that a member replied. @return its replication state; null if this member doesn't lead or
+     * doesn't know it. */
+    Progress *recordReply(const RaftMessage &message);
     void handleAppendReply(const RaftMessage &message);
     void handleSnapshot(const RaftMessage &message);
     void handleSnapshotReply(const RaftMessage &message);
-    void refuseAppend(const RaftMessage &message);
+    void rejectAppend(const RaftMessage &message);
     void acceptEntries(const std::vector<RaftEntry> &received);
     void truncateFrom(std::uint64_t index);
     void advanceCommit();
@@ -152,40 +154,41 @@
     // raft_read.cpp
     void startReadRound();
     void confirmReads();
-    void followMembership();
+    void updateProgress();
     [[nodiscard]] std::uint64_t quorumValue(std::vector<std::uint64_t> values) const;
 
-    const RaftSettings settings; ///< Bounds.
-    const std::string self; ///< Our identity.
-    std::mt19937_64 random; ///< Spreads election timeouts.
-    RaftHardState hard; ///< Term and vote.
-    RaftRole currentRole = RaftRole::Follower; ///< What we are.
-    std::string leaderId; ///< Leader of the term; empty where unknown.
-    std::uint64_t baseIndex = 0; ///< Entries up to here are dropped.
+    const RaftSettings settings; ///< Protocol parameters.
+    const std::string self; ///< Identity of this member.
+    std::mt19937_64 random; ///< Randomizes election timeouts.
+    RaftHardState currentHardState; ///< Current term and vote.
+    RaftRole currentRole = RaftRole::Follower; ///< Role in the current term.
+    std::string leaderId; ///< Leader of the current term; empty if unknown.
+    std::uint64_t baseIndex = 0; ///< Entries up to this index are dropped.
     std::uint64_t baseTerm = 0; ///< Term of the entry at baseIndex.
-    std::deque<RaftEntry> entries; ///< From baseIndex + 1.
+    std::deque<RaftEntry> entries; ///< Entries from baseIndex + 1 on.
     RaftSnapshot lastSnapshot; ///< baseIndex <= its index <= commit.
-    std::map<std::uint64_t, RaftMembership> memberships; ///< By index of entry; never empty. The last one is in force.
-    std::uint64_t commit = 0; ///< Never falls; at least lastSnapshot.index.
-    std::uint64_t syncedIndex = 0; ///< Our own log lasts up to here.
+    std::map<std::uint64_t, RaftMembership> memberships; ///< By entry index; never empty. The last one is in effect.
+    std::uint64_t commit = 0; ///< Commit index; never decreases, at least lastSnapshot.index.
+    std::uint64_t syncedIndex = 0; ///< Own log is durable up to this index.
     std::uint64_t lastBatch = 0; ///< Number of the newest batch to persist.
-    std::uint64_t syncedBatch = 0; ///< All batches up to this last.
-    std::map<std::uint64_t, std::uint64_t> batchLast; ///< Last index of each unsynced batch.
-    std::deque<std::pair<std::uint64_t, RaftMessage>> held; ///< Messages that wait for a batch, in order.
-    bool persistPending = false; ///< The actions hold something to persist.
+    std::uint64_t syncedBatch = 0; ///< All batches up to this one are durable.
+    std::map<std::uint64_t, std::uint64_t> lastIndexByBatch; ///< Last index of each unsynced batch.
+    std::deque<std::pair<std::uint64_t, RaftMessage>>
+        deferredMessages; ///< Messages to send once their batch is durable.
+    bool persistPending = false; ///< The pending actions contain something to persist.
 
-    unsigned electionElapsed = 0; ///< Ticks since the leader was heard or we campaigned.
+    unsigned electionElapsed = 0; ///< Ticks since the last leader message, vote or campaign.
     unsigned electionTimeout = 0; ///< Random between electionTicks and twice that.
-    unsigned heartbeatElapsed = 0; ///< Ticks since our last heartbeat.
-    unsigned quorumElapsed = 0; ///< Ticks since the last check of the quorum.
-    std::set<std::string> votes; ///< Granted in this (pre-)election.
-    std::map<std::string, Progress> progress; ///< At the leader: the other members.
+    unsigned heartbeatElapsed = 0; ///< Ticks since the last heartbeat sent.
+    unsigned quorumElapsed = 0; ///< Ticks since the last quorum check.
+    std::set<std::string> votes; ///< Members that granted a vote in this (pre-)election.
+    std::map<std::string, Progress> progress; ///< Other members by identity; used at the leader.
 
     std::uint64_t nextRead = 1; ///< Id of the next read.
     std::uint64_t readRound = 0; ///< Latest read round.
-    std::vector<PendingRead> reads; ///< Not yet confirmed.
-    RaftSnapshot incoming; ///< Snapshot under receipt.
-    RaftActions actions; ///< Since the last takeActions.
+    std::vector<PendingRead> reads; ///< Unconfirmed reads.
+    RaftSnapshot incomingSnapshot; ///< Partially received snapshot.
+    RaftActions actions; ///< Actions since the last takeActions.
 };
 
 } // namespace Chestnuthook
--- a/src/consensus/raft_election.cpp
+++ b/src/consensus/raft_election.cpp
@@ -4,28 +4,28 @@
 namespace Chestnuthook
 {
 
-void RaftCore::campaign(bool pre)
+void RaftCore::campaign(bool isPreVote)
 {
     this->resetElectionTimer();
     this->leaderId.clear();
     this->votes = {this->self};
-    this->currentRole = pre ? RaftRole::PreCandidate : RaftRole::Candidate;
-    if (!pre) {
-        this->setHardState(this->hard.term + 1, this->self);
+    this->currentRole = isPreVote ? RaftRole::PreCandidate : RaftRole::Candidate;
+    if (!isPreVote) {
+        this->setHardState(this->currentHardState.term + 1, this->self);
     }
     for (const auto &[id, member] : this->membership()) {
         if (id == this->self || !member.voter) {
             continue;
         }
         RaftMessage request = this->makeMessage(RaftMessageKind::Vote, id);
-        request.pre = pre;
-        request.term = pre ? this->hard.term + 1 : this->hard.term;
+        request.isPreVote = isPreVote;
+        request.term = isPreVote ? this->currentHardState.term + 1 : this->currentHardState.term;
         request.index = this->lastIndex();
         request.logTerm = this->termAt(this->lastIndex());
         this->sendAfterSync(std::move(request));
     }
     if (this->hasQuorum(this->votes)) {
-        if (pre) {
+        if (isPreVote) {
             this->campaign(false);
         } else {
             this->becomeLeader();
@@ -33,7 +33,7 @@
     }
 }
 
-bool RaftCore::hearsLeader() const
+bool RaftCore::hasActiveLeader() const
 {
     return this->currentRole == RaftRole::Leader
         || (!this->leaderId.empty() && this->electionElapsed < this->settings.electionTicks);
@@ -45,24 +45,24 @@
     const bool upToDate =
         message.logTerm > lastTerm || (message.logTerm == lastTerm && message.index >= this->lastIndex());
     RaftMessage reply = this->makeMessage(RaftMessageKind::VoteReply, message.from);
-    reply.pre = message.pre;
-    if (message.pre) {
-        reply.ok = message.term > this->hard.term && upToDate && !this->hearsLeader();
-        reply.term = reply.ok ? message.term : this->hard.term;
+    reply.isPreVote = message.isPreVote;
+    if (message.isPreVote) {
+        reply.ok = message.term > this->currentHardState.term && upToDate && !this->hasActiveLeader();
+        reply.term = reply.ok ? message.term : this->currentHardState.term;
         this->sendAfterSync(std::move(reply));
         return;
     }
-    if (message.term > this->hard.term) {
-        if (this->hearsLeader()) {
-            return; // The leader is well; a member that was cut off must not depose it.
+    if (message.term > this->currentHardState.term) {
+        if (this->hasActiveLeader()) {
+            return; // The leader is alive; a member that was partitioned must not depose it.
         }
         this->becomeFollower(message.term, "");
     }
-    reply.term = this->hard.term;
-    const bool free = this->hard.vote.empty() || this->hard.vote == message.from;
-    if (message.term == this->hard.term && upToDate && free) {
-        if (this->hard.vote.empty()) {
-            this->setHardState(this->hard.term, message.from);
+    reply.term = this->currentHardState.term;
+    const bool canVote = this->currentHardState.vote.empty() || this->currentHardState.vote == message.from;
+    if (message.term == this->currentHardState.term && upToDate && canVote) {
+        if (this->currentHardState.vote.empty()) {
+            this->setHardState(this->currentHardState.term, message.from);
         }
         this->resetElectionTimer();
         reply.ok = true;
@@ -72,17 +72,17 @@
 
 void RaftCore::handleVoteReply(const RaftMessage &message)
 {
-    const std::uint64_t asked = this->hard.term + (message.pre ? 1 : 0);
-    const bool waiting =
-        message.pre ? this->currentRole == RaftRole::PreCandidate : this->currentRole == RaftRole::Candidate;
-    if (!message.ok || !waiting || message.term != asked) {
+    const std::uint64_t expectedTerm = this->currentHardState.term + (message.isPreVote ? 1 : 0);
+    const bool expectsVotes =
+        message.isPreVote ? this->currentRole == RaftRole::PreCandidate : this->currentRole == RaftRole::Candidate;
+    if (!message.ok || !expectsVotes || message.term != expectedTerm) {
         return;
     }
     this->votes.insert(message.from);
     if (!this->hasQuorum(this->votes)) {
         return;
     }
-    if (message.pre) {
+    if (message.isPreVote) {
         this->campaign(false);
     } else {
         this->becomeLeader();
@@ -96,8 +96,8 @@
     this->heartbeatElapsed = 0;
     this->quorumElapsed = 0;
     this->progress.clear();
-    this->followMembership();
-    this->appendOwn(RaftEntryKind::NoOp, "");
+    this->updateProgress();
+    this->appendNewEntry(RaftEntryKind::NoOp, "");
 }
 
 } // namespace Chestnuthook
--- a/src/consensus/raft_read.cpp
+++ b/src/consensus/raft_read.cpp
@@ -1,4 +1,4 @@
-/** @file raft_read.cpp  Confirmed reads by a quorum round, membership and compaction. */
+/** @file raft_read.cpp  Reads confirmed by a quorum, membership changes and log compaction. */
 #include "consensus/raft_core_base.h"
 
 #include <algorithm>
@@ -19,11 +19,11 @@
 
 void RaftCore::startReadRound()
 {
-    const bool waiting = std::any_of(this->reads.begin(), this->reads.end(), [](const PendingRead &read) {
+    const bool anyUnsent = std::any_of(this->reads.begin(), this->reads.end(), [](const PendingRead &read) {
         return read.context == 0;
     });
-    if (!waiting || !this->committedInTerm()) {
-        return; // Before that, entries acknowledged by an earlier leader may not be known as committed here.
+    if (!anyUnsent || !this->committedInTerm()) {
+        return; // Until then this leader may not know that entries acknowledged by an earlier leader are committed.
     }
     ++this->readRound;
     for (PendingRead &read : this->reads) {
@@ -32,7 +32,7 @@
             read.index = this->commit;
         }
     }
-    this->broadcast(Occasion::Commit);
+    this->broadcast(BroadcastReason::Commit);
     this->confirmReads();
 }
 
@@ -66,7 +66,7 @@
     return values[values.size() / 2];
 }
 
-void RaftCore::followMembership()
+void RaftCore::updateProgress()
 {
     if (this->currentRole != RaftRole::Leader) {
         return;
@@ -78,7 +78,7 @@
         if (id != this->self && !this->progress.contains(id)) {
             Progress known;
             known.next = this->lastIndex() + 1;
-            known.heard = true;
+            known.active = true;
             this->progress[id] = known;
         }
     }
@@ -86,8 +86,8 @@
 
 std::optional<std::uint64_t> RaftCore::proposeMembership(const RaftMembership &next)
 {
-    const bool underWay = this->memberships.rbegin()->first > this->commit;
-    if (!this->committedInTerm() || underWay) {
+    const bool changePending = this->memberships.rbegin()->first > this->commit;
+    if (!this->committedInTerm() || changePending) {
         return std::nullopt;
     }
     std::size_t changes = 0;
@@ -104,7 +104,7 @@
     if (changes != 1 || !hasVoter) {
         return std::nullopt;
     }
-    this->appendOwn(RaftEntryKind::Membership, encodeMembership(next));
+    this->appendNewEntry(RaftEntryKind::Membership, encodeMembership(next));
     return this->lastIndex();
 }
 
@@ -113,9 +113,9 @@
     if (index <= this->lastSnapshot.index || index > this->commit) {
         return;
     }
-    const auto inForce = std::prev(this->memberships.upper_bound(index));
-    this->lastSnapshot = RaftSnapshot{index, this->termAt(index), inForce->second, std::move(data)};
-    this->memberships.erase(this->memberships.begin(), inForce);
+    const auto membershipAtIndex = std::prev(this->memberships.upper_bound(index));
+    this->lastSnapshot = RaftSnapshot{index, this->termAt(index), membershipAtIndex->second, std::move(data)};
+    this->memberships.erase(this->memberships.begin(), membershipAtIndex);
     const std::uint64_t base = std::min(index, keepFrom == 0 ? 0 : keepFrom - 1);
     if (base > this->baseIndex) {
         this->baseTerm = this->termAt(base);
--- a/src/consensus/raft_replication.cpp
+++ b/src/consensus/raft_replication.cpp
@@ -1,4 +1,4 @@
-/** @file raft_replication.cpp  Appends, snapshots, commit and the check of the quorum. */
+/** @file raft_replication.cpp  Log replication, snapshot transfer, commit and the quorum check. */
 #include "consensus/raft_core_base.h"
 
 #include <algorithm>
@@ -7,35 +7,35 @@
 namespace Chestnuthook
 {
 
-void RaftCore::broadcast(Occasion occasion)
+void RaftCore::broadcast(BroadcastReason reason)
 {
-    const bool heartbeat = occasion == Occasion::Heartbeat;
-    for (auto &[member, known] : this->progress) {
-        if (known.next <= this->baseIndex) {
-            if (heartbeat || known.snapshotIndex == 0) {
-                this->sendSnapshot(member, known);
+    const bool heartbeat = reason == BroadcastReason::Heartbeat;
+    for (auto &[member, follower] : this->progress) {
+        if (follower.next <= this->baseIndex) {
+            if (heartbeat || follower.snapshotIndex == 0) {
+                this->sendSnapshot(member, follower);
             }
             continue;
         }
-        const bool waits = known.probing && known.probeSent;
-        const bool news = occasion == Occasion::Commit || known.next <= this->lastIndex();
-        if (heartbeat || (news && !waits)) {
-            this->sendAppend(member, known, occasion != Occasion::Entries);
+        const bool awaitsProbeReply = follower.probing && follower.probeSent;
+        const bool hasNews = reason == BroadcastReason::Commit || follower.next <= this->lastIndex();
+        if (heartbeat || (hasNews && !awaitsProbeReply)) {
+            this->sendAppend(member, follower, reason != BroadcastReason::Entries);
         }
     }
 }
 
-void RaftCore::sendAppend(const std::string &member, Progress &known, bool evenEmpty)
+void RaftCore::sendAppend(const std::string &member, Progress &follower, bool allowEmpty)
 {
     do {
-        const bool room = known.next <= known.match + this->settings.maxInflightEntries;
+        const bool hasRoom = follower.next <= follower.match + this->settings.maxInflightEntries;
         RaftMessage message = this->makeMessage(RaftMessageKind::Append, member);
-        message.index = known.next - 1;
+        message.index = follower.next - 1;
         message.logTerm = this->termAt(message.index);
         message.commit = this->commit;
         message.readContext = this->readRound;
         std::size_t bytes = 0;
-        for (std::uint64_t i = known.next; room && i <= this->lastIndex(); ++i) {
+        for (std::uint64_t i = follower.next; hasRoom && i <= this->lastIndex(); ++i) {
             const RaftEntry &entry = this->entryAt(i);
             bytes += entry.data.size();
             const bool full =
@@ -45,31 +45,31 @@
             }
             message.entries.push_back(entry);
         }
-        if (message.entries.empty() && !evenEmpty) {
+        if (message.entries.empty() && !allowEmpty) {
             return;
         }
-        evenEmpty = false;
-        known.probeSent = true;
-        if (!known.probing) {
-            known.next += message.entries.size();
+        allowEmpty = false;
+        follower.probeSent = true;
+        if (!follower.probing) {
+            follower.next += message.entries.size();
         }
         this->send(std::move(message));
-    } while (!known.probing && known.next <= this->lastIndex());
+    } while (!follower.probing && follower.next <= this->lastIndex());
 }
 
-void RaftCore::sendSnapshot(const std::string &member, Progress &known)
+void RaftCore::sendSnapshot(const std::string &member, Progress &follower)
 {
     const RaftSnapshot &snapshot = this->lastSnapshot;
-    if (known.snapshotIndex != snapshot.index) {
-        known.snapshotIndex = snapshot.index;
-        known.snapshotOffset = 0;
+    if (follower.snapshotIndex != snapshot.index) {
+        follower.snapshotIndex = snapshot.index;
+        follower.snapshotOffset = 0;
     }
     RaftMessage message = this->makeMessage(RaftMessageKind::Snapshot, member);
     message.index = snapshot.index;
     message.logTerm = snapshot.term;
     message.membership = snapshot.membership;
     message.readContext = this->readRound;
-    message.offset = std::min<std::uint64_t>(known.snapshotOffset, snapshot.data.size());
+    message.offset = std::min<std::uint64_t>(follower.snapshotOffset, snapshot.data.size());
     message.data = snapshot.data.substr(message.offset, this->settings.snapshotChunkBytes);
     message.ok = message.offset + message.data.size() == snapshot.data.size();
     this->send(std::move(message));
@@ -80,10 +80,10 @@
     if (this->currentRole == RaftRole::Leader) {
         return;
     }
-    const bool before = message.index < this->baseIndex;
-    const bool meets = message.index <= this->lastIndex() && this->termAt(message.index) == message.logTerm;
-    if (!before && !meets) {
-        this->refuseAppend(message);
+    const bool beforeBase = message.index < this->baseIndex;
+    const bool matches = message.index <= this->lastIndex() && this->termAt(message.index) == message.logTerm;
+    if (!beforeBase && !matches) {
+        this->rejectAppend(message);
         return;
     }
     this->acceptEntries(message.entries);
@@ -96,7 +96,7 @@
     this->commitTo(std::min(message.commit, match));
 }
 
-void RaftCore::refuseAppend(const RaftMessage &message)
+void RaftCore::rejectAppend(const RaftMessage &message)
 {
     std::uint64_t hint = std::min(message.index - 1, this->lastIndex());
     const std::uint64_t conflicting = this->termAt(message.index);
@@ -114,12 +114,12 @@
     for (const RaftEntry &entry : received) {
         if (entry.index <= this->baseIndex
             || (entry.index <= this->lastIndex() && this->termAt(entry.index) == entry.term)) {
-            continue; // Held already; entries of one index and term are equal.
+            continue; // Already in the log; entries with the same index and term are identical.
         }
         if (entry.index <= this->lastIndex()) {
             this->truncateFrom(entry.index);
         }
-        this->store(entry);
+        this->appendEntry(entry);
     }
 }
 
@@ -130,43 +130,43 @@
         return entry.index >= index;
     });
     this->memberships.erase(this->memberships.lower_bound(index), this->memberships.end());
-    for (auto &[batch, last] : this->batchLast) {
+    for (auto &[batch, last] : this->lastIndexByBatch) {
         last = std::min(last, index - 1);
     }
     this->syncedIndex = std::min(this->syncedIndex, index - 1);
 }
 
-RaftCore::Progress *RaftCore::hearFrom(const RaftMessage &message)
+RaftCore::Progress *RaftCore::recordReply(const RaftMessage &message)
 {
     const auto found = this->progress.find(message.from);
     if (this->currentRole != RaftRole::Leader || found == this->progress.end()) {
         return nullptr;
     }
-    Progress &known = found->second;
-    known.heard = true;
-    known.readContext = std::max(known.readContext, message.readContext);
-    return &known;
+    Progress &follower = found->second;
+    follower.active = true;
+    follower.readContext = std::max(follower.readContext, message.readContext);
+    return &follower;
 }
 
 void RaftCore::handleAppendReply(const RaftMessage &message)
 {
-    Progress *const heard = this->hearFrom(message);
-    if (heard == nullptr) {
+    Progress *const sender = this->recordReply(message);
+    if (sender == nullptr) {
         return;
     }
-    Progress &known = *heard;
+    Progress &follower = *sender;
     if (message.ok) {
-        known.match = std::max(known.match, message.index);
-        known.next = std::max(known.next, known.match + 1);
-        known.probing = false;
-        if (known.match >= this->baseIndex) {
-            known.snapshotIndex = 0;
+        follower.match = std::max(follower.match, message.index);
+        follower.next = std::max(follower.next, follower.match + 1);
+        follower.probing = false;
+        if (follower.match >= this->baseIndex) {
+            follower.snapshotIndex = 0;
         }
         this->advanceCommit();
     } else {
-        known.next = std::min(known.next, std::max(message.index, known.match) + 1);
-        known.probing = true;
-        known.probeSent = false;
+        follower.next = std::min(follower.next, std::max(message.index, follower.match) + 1);
+        follower.probing = true;
+        follower.probeSent = false;
     }
     this->confirmReads();
 }
@@ -180,51 +180,51 @@
     reply.readContext = message.readContext;
     reply.ok = true;
     reply.index = message.index;
-    const bool held = message.index <= this->lastIndex() && this->termAt(message.index) == message.logTerm;
-    if (message.index <= this->commit || held) {
-        // What follows it in the log may be acknowledged already, so the log stays.
+    const bool alreadyHeld = message.index <= this->lastIndex() && this->termAt(message.index) == message.logTerm;
+    if (message.index <= this->commit || alreadyHeld) {
+        // Later entries in the log may already be acknowledged, so the log is kept.
         this->commitTo(message.index);
         this->sendAfterSync(std::move(reply));
         return;
     }
-    if (this->incoming.index != message.index || this->incoming.term != message.logTerm) {
-        this->incoming = RaftSnapshot{message.index, message.logTerm, message.membership, ""};
+    if (this->incomingSnapshot.index != message.index || this->incomingSnapshot.term != message.logTerm) {
+        this->incomingSnapshot = RaftSnapshot{message.index, message.logTerm, message.membership, ""};
     }
-    if (message.offset != this->incoming.data.size() || !message.ok) {
-        if (message.offset == this->incoming.data.size()) {
-            this->incoming.data += message.data;
+    if (message.offset != this->incomingSnapshot.data.size() || !message.ok) {
+        if (message.offset == this->incomingSnapshot.data.size()) {
+            this->incomingSnapshot.data += message.data;
         }
         reply.kind = RaftMessageKind::SnapshotReply;
-        reply.offset = this->incoming.data.size();
+        reply.offset = this->incomingSnapshot.data.size();
         this->sendAfterSync(std::move(reply));
         return;
     }
-    this->incoming.data += message.data;
+    this->incomingSnapshot.data += message.data;
     this->entries.clear();
     this->actions.append.clear();
-    this->baseIndex = this->incoming.index;
-    this->baseTerm = this->incoming.term;
-    this->commit = this->incoming.index;
-    this->syncedIndex = this->incoming.index;
-    this->batchLast.clear();
+    this->baseIndex = this->incomingSnapshot.index;
+    this->baseTerm = this->incomingSnapshot.term;
+    this->commit = this->incomingSnapshot.index;
+    this->syncedIndex = this->incomingSnapshot.index;
+    this->lastIndexByBatch.clear();
     this->actions.committed.clear();
-    this->memberships = {{this->incoming.index, this->incoming.membership}};
-    this->lastSnapshot = std::exchange(this->incoming, RaftSnapshot{});
+    this->memberships = {{this->incomingSnapshot.index, this->incomingSnapshot.membership}};
+    this->lastSnapshot = std::exchange(this->incomingSnapshot, RaftSnapshot{});
     this->actions.install = this->lastSnapshot;
-    this->noteBatch();
+    this->beginBatch();
     this->sendAfterSync(std::move(reply));
 }
 
 void RaftCore::handleSnapshotReply(const RaftMessage &message)
 {
-    Progress *const heard = this->hearFrom(message);
-    if (heard == nullptr) {
+    Progress *const sender = this->recordReply(message);
+    if (sender == nullptr) {
         return;
     }
-    Progress &known = *heard;
-    if (known.snapshotIndex == message.index && message.offset != known.snapshotOffset) {
-        known.snapshotOffset = message.offset;
-        this->sendSnapshot(message.from, known);
+    Progress &follower = *sender;
+    if (follower.snapshotIndex == message.index && message.offset != follower.snapshotOffset) {
+        follower.snapshotOffset = message.offset;
+        this->sendSnapshot(message.from, follower);
     }
     this->confirmReads();
 }
@@ -234,15 +234,16 @@
     std::vector<std::uint64_t> matches;
     for (const auto &[id, member] : this->membership()) {
         if (member.voter) {
-            matches.push_back(this->matchOf(id));
+            matches.push_back(this->matchIndexOf(id));
         }
     }
     const std::uint64_t agreed = this->quorumValue(std::move(matches));
-    if (agreed > this->commit && (this->termAt(agreed) == this->hard.term || !this->settings.commitTermCheck)) {
+    if (agreed > this->commit
+        && (this->termAt(agreed) == this->currentHardState.term || !this->settings.commitTermCheck)) {
         this->commitTo(agreed);
-        this->broadcast(Occasion::Commit);
+        this->broadcast(BroadcastReason::Commit);
         if (!this->membership().contains(this->self) && this->memberships.rbegin()->first <= this->commit) {
-            this->becomeFollower(this->hard.term, "");
+            this->becomeFollower(this->currentHardState.term, "");
         }
     }
 }
@@ -258,14 +259,14 @@
 void RaftCore::checkQuorum()
 {
     this->quorumElapsed = 0;
-    std::set<std::string> heard = {this->self};
-    for (auto &[member, known] : this->progress) {
-        if (std::exchange(known.heard, false)) {
-            heard.insert(member);
+    std::set<std::string> active = {this->self};
+    for (auto &[member, follower] : this->progress) {
+        if (std::exchange(follower.active, false)) {
+            active.insert(member);
         }
     }
-    if (!this->hasQuorum(heard)) {
-        this->becomeFollower(this->hard.term, "");
+    if (!this->hasQuorum(active)) {
+        this->becomeFollower(this->currentHardState.term, "");
     }
 }
 
--- a/src/consensus/raft_storage_base.h
+++ b/src/consensus/raft_storage_base.h
@@ -1,4 +1,4 @@
-/** @file raft_storage_base.h  The durable part of a member: its log, hard state and snapshot in the data folder. */
+/** @file raft_storage_base.h  Durable state of a member: the log, hard state and snapshot in its data folder. */
 #pragma once
 
 #include <cstdint>
@@ -12,20 +12,20 @@
 namespace Chestnuthook
 {
 
-/** A compaction: the snapshot and what stays of the log. */
+/** A log compaction: the snapshot and the remaining log. */
 struct RaftCompaction
 {
-    RaftSnapshot snapshot; ///< What the dropped entries are replaced by.
-    RaftHardState hardState; ///< At the time.
-    std::uint64_t baseIndex = 0; ///< The log starts after this.
+    RaftSnapshot snapshot; ///< Replaces the dropped entries.
+    RaftHardState hardState; ///< Current hard state.
+    std::uint64_t baseIndex = 0; ///< The remaining log starts after this index.
     std::uint64_t baseTerm = 0; ///< Term of the entry at baseIndex.
-    std::vector<RaftEntry> entries; ///< All from baseIndex + 1.
+    std::vector<RaftEntry> entries; ///< All entries from baseIndex + 1 on.
 };
 
 /** Blocking writes to one data folder; used by one thread at a time. After a failure nothing more may be written.
- * A record is `length, checksum, batch, checksum of these` and its bytes; `batch` is the offset at which the write that
- * it was part of began. A damaged record is the torn tail unless a whole record of a later batch follows it, because a
- * batch is begun only after the one before was synced. */
+ * A record consists of a header `length, checksum, batch, checksum of these` and its payload; `batch` is the file
+ * offset at which the write that contained it began. A damaged record is a torn tail unless a complete record of a
+ * later batch follows it, because a batch is started only after the previous one was synced. */
 class RaftStorage
 {
 public:
@@ -34,37 +34,37 @@
     RaftStorage &operator=(const RaftStorage &) = delete;
     ~RaftStorage();
 
-    /** Opens or makes the folder and reads what is there. Errors: StorageFailed, StorageCorrupt. */
-    [[nodiscard]] Result<RaftRestored> open(const std::string &dataFolder);
+    /** Opens or creates the folder and reads the stored state. Errors: StorageFailed, StorageCorrupt. */
+    [[nodiscard]] Result<RaftPersistentState> open(const std::string &dataFolder);
 
-    /** The identity kept in the folder; made at the first opening. */
+    /** The identity stored in the folder. */
     [[nodiscard]] const std::string &identity() const
     {
-        return this->folderIdentity;
+        return this->memberIdentity;
     }
-    /** Makes the identity of @p name where the folder has none. Errors: StorageFailed. */
+    /** Loads the identity from the folder; creates one for @p name if there is none. Errors: StorageFailed. */
     [[nodiscard]] Result<void> loadOrCreateIdentity(const std::string &dataFolder, const std::string &name);
 
-    /** Persists @p batches in order by one write and one sync. Errors: StorageFailed. */
+    /** Persists @p batches in order with one write and one sync. Errors: StorageFailed. */
     [[nodiscard]] Result<void> write(const std::vector<RaftActions> &batches);
 
-    /** Persists a snapshot and then the shorter log. Errors: StorageFailed. */
+    /** Persists the snapshot and then replaces the log by the remaining one. Errors: StorageFailed. */
     [[nodiscard]] Result<void> compact(const RaftCompaction &compaction);
 
 private:
-    Result<void> readSnapshot(RaftRestored &restored);
-    Result<void> readLog(RaftRestored &restored);
+    Result<void> readSnapshot(RaftPersistentState &restored);
+    Result<void> readLog(RaftPersistentState &restored);
     Result<void> openLog();
     Result<void> replaceLog(const RaftCompaction &compaction);
     Result<void> replaceFile(const std::string &name, const std::string &bytes);
     Result<void> writeBytes(const std::string &bytes);
 
     std::string folder; ///< The data folder.
-    std::string folderIdentity; ///< Name and random part.
-    int descriptor = -1; ///< The open log.
-    std::uint64_t end = 0; ///< Size of the log.
-    RaftHardState hard; ///< Last one written; repeated in a new log.
-    bool failed = false; ///< A write or sync failed; the file's end is unknown.
+    std::string memberIdentity; ///< Member name and random part.
+    int descriptor = -1; ///< File descriptor of the open log.
+    std::uint64_t logSize = 0; ///< Size of the log file in bytes.
+    RaftHardState lastHardState; ///< Last hard state written; repeated in a new log file.
+    bool writeFailed = false; ///< A write or sync failed, so the end of the file is unknown.
 };
 
 } // namespace Chestnuthook
--- a/src/consensus/raft_type.h
+++ b/src/consensus/raft_type.h
@@ -1,4 +1,4 @@
-/** @file raft_type.h  Entries, messages and actions of the replicated log. Plain values: no I/O and no clock. */
+/** @file raft_type.h  Entries, messages and actions of the Raft log. Plain values without I/O or a clock. */
 #pragma once
 
 #include <cstdint>
@@ -12,111 +12,111 @@
 
 enum class RaftEntryKind : std::uint8_t { Command, NoOp, Membership };
 
-/** One entry of the log. */
+/** One entry of the replicated log. */
 struct RaftEntry
 {
-    std::uint64_t term = 0; ///< Term of the leader that made it.
-    std::uint64_t index = 0; ///< Place in the log, from 1.
-    RaftEntryKind kind = RaftEntryKind::Command; ///< Who consumes it.
-    std::string data; ///< A command, or an encoded membership.
+    std::uint64_t term = 0; ///< Term of the leader that created it.
+    std::uint64_t index = 0; ///< Position in the log, counted from 1.
+    RaftEntryKind kind = RaftEntryKind::Command; ///< Decides who applies it.
+    std::string data; ///< Command or encoded membership.
     bool operator==(const RaftEntry &) const = default;
 };
 
 /** One member of the group. */
 struct RaftMember
 {
-    std::string address; ///< ip:port of its control port.
-    bool voter = false; ///< A learner gets entries and has no vote.
+    std::string address; ///< Its control port, ip:port.
+    bool voter = false; ///< False for a learner, which receives entries but has no vote.
     bool operator==(const RaftMember &) const = default;
 };
 
-/** Members by identity. An identity is the member's name and a random part made with its data folder, so that a wiped
- * member comes back as another one. */
+/** Members by identity. An identity is the member's name and a random part created with its data folder, so that a
+ * member whose folder was wiped returns under a new identity. */
 using RaftMembership = std::map<std::string, RaftMember>;
 
 [[nodiscard]] std::string encodeMembership(const RaftMembership &membership);
 [[nodiscard]] RaftMembership decodeMembership(const std::string &bytes);
 
-/** What a member may never forget besides its log. */
+/** State that a member must persist besides its log. */
 struct RaftHardState
 {
-    std::uint64_t term = 0; ///< Latest term seen. Never falls.
-    std::string vote; ///< Whom it voted for in `term`; empty for none.
+    std::uint64_t term = 0; ///< Latest term seen; never decreases.
+    std::string vote; ///< Identity that it voted for in `term`; empty if none.
     bool operator==(const RaftHardState &) const = default;
 };
 
-/** State of the machines at an index. */
+/** State of the state machines at a log index. */
 struct RaftSnapshot
 {
-    std::uint64_t index = 0; ///< Last entry that it covers; 0 for none.
+    std::uint64_t index = 0; ///< Last entry that it covers; 0 if there is no snapshot.
     std::uint64_t term = 0; ///< Term of that entry.
     RaftMembership membership; ///< As of that entry.
-    std::string data; ///< The machines' bytes.
+    std::string data; ///< Serialized state machines.
 };
 
 enum class RaftMessageKind : std::uint8_t { Vote, VoteReply, Append, AppendReply, Snapshot, SnapshotReply };
 
-/** A message between members; which fields count depends on the kind. */
+/** A message between members; `kind` determines which fields are used. */
 struct RaftMessage
 {
-    RaftMessageKind kind = RaftMessageKind::Append; ///< What it is.
+    RaftMessageKind kind = RaftMessageKind::Append; ///< Type of the message.
     std::string from; ///< Identity of the sender.
-    std::string to; ///< Identity of the receiver; another incarnation drops it.
-    std::uint64_t term = 0; ///< Sender's term; the term asked for in a pre-vote.
-    bool pre = false; ///< Votes: a question that changes nothing.
-    bool ok = false; ///< Replies: granted, or appended. Snapshot: the last chunk.
-    std::uint64_t index = 0; ///< Last, previous or matched index, by kind.
+    std::string to; ///< Identity of the receiver; a member with another identity drops it.
+    std::uint64_t term = 0; ///< Sender's term; in a pre-vote the term of the election that it asks about.
+    bool isPreVote = false; ///< Votes: asks without changing the receiver's state.
+    bool ok = false; ///< Replies: granted or appended. Snapshot: last chunk.
+    std::uint64_t index = 0; ///< Last, previous or matched index, depending on `kind`.
     std::uint64_t logTerm = 0; ///< Term of the entry at `index`.
     std::uint64_t commit = 0; ///< Append: the leader's commit index.
-    std::uint64_t readContext = 0; ///< Append: latest read round. Reply: the same, echoed.
-    std::uint64_t offset = 0; ///< Snapshots: bytes before this chunk. Reply: bytes held.
-    std::vector<RaftEntry> entries; ///< Append.
-    std::string data; ///< Snapshot: the chunk.
-    RaftMembership membership; ///< Snapshot.
+    std::uint64_t readContext = 0; ///< Append: latest read round; the reply echoes it.
+    std::uint64_t offset = 0; ///< Snapshot: bytes before this chunk. Reply: bytes received.
+    std::vector<RaftEntry> entries; ///< Append: entries after `index`.
+    std::string data; ///< Snapshot: this chunk.
+    RaftMembership membership; ///< Snapshot: membership at its index.
 };
 
-/** A read that was confirmed, or failed where `index` is 0. */
+/** A confirmed read, or a failed one if `index` is 0. */
 struct RaftRead
 {
-    std::uint64_t id = 0; ///< As requestRead gave it.
-    std::uint64_t index = 0; ///< The state must hold this entry before it is read.
+    std::uint64_t id = 0; ///< Id returned by requestRead.
+    std::uint64_t index = 0; ///< This entry must be applied before the state is read.
 };
 
-/** What the owner of a core does after an input, in this order: persist, send, restore, apply, answer reads. */
+/** What the owner of a RaftCore must do after an input, in this order: persist, send, restore, apply, answer reads. */
 struct RaftActions
 {
-    std::uint64_t batch = 0; ///< To name in `synced` once what is to be persisted lasts; 0 where nothing is.
+    std::uint64_t batch = 0; ///< Pass it to `batchSynced` once this batch is durable; 0 if nothing is to persist.
     std::optional<RaftHardState> hardState; ///< To persist.
-    std::vector<RaftEntry> append; ///< To persist; an index that is there already replaces it and all after it.
-    std::optional<RaftSnapshot> install; ///< To persist in place of the whole log, and to restore.
-    std::vector<RaftMessage> messages; ///< May leave at once: all that they promise lasts.
-    std::vector<RaftEntry> committed; ///< To apply, in order.
-    std::vector<RaftRead> reads; ///< To answer after applying.
+    std::vector<RaftEntry> append; ///< To persist; an entry replaces any stored entries from its index on.
+    std::optional<RaftSnapshot> install; ///< To persist in place of the whole log and to restore from.
+    std::vector<RaftMessage> messages; ///< To send at once; all that they promise is durable already.
+    std::vector<RaftEntry> committed; ///< To apply in order.
+    std::vector<RaftRead> reads; ///< To answer after `committed` is applied.
 };
 
-/** Bounds of the core, in ticks where they are times. */
+/** Parameters of a RaftCore; times are in ticks. */
 struct RaftSettings
 {
-    unsigned electionTicks = 12; ///< Least election timeout; the greatest is twice that.
-    unsigned heartbeatTicks = 3; ///< Between heartbeats.
-    std::size_t maxAppendEntries = 512; ///< In one message.
-    std::size_t maxAppendBytes = 1U << 20U; ///< In one message, but for a single larger entry.
-    std::uint64_t maxInflightEntries = 2048; ///< Sent to one member and not yet acknowledged.
-    std::size_t snapshotChunkBytes = 256U << 10U; ///< In one message.
-    bool preVote = true; ///< Off only in the test of the test.
-    bool commitTermCheck = true; ///< Off only in the test of the test.
-    bool waitForSync = true; ///< Off only in the test of the test.
+    unsigned electionTicks = 12; ///< Minimum election timeout; the maximum is twice that.
+    unsigned heartbeatTicks = 3; ///< Heartbeat interval.
+    std::size_t maxAppendEntries = 512; ///< Entries per message.
+    std::size_t maxAppendBytes = 1U << 20U; ///< Bytes per message; a single entry may be larger.
+    std::uint64_t maxInflightEntries = 2048; ///< Unacknowledged entries per member.
+    std::size_t snapshotChunkBytes = 256U << 10U; ///< Bytes per message.
+    bool preVote = true; ///< Disabled only to test that the simulation detects the fault.
+    bool commitTermCheck = true; ///< Disabled only to test that the simulation detects the fault.
+    bool waitForSync = true; ///< Disabled only to test that the simulation detects the fault.
 };
 
-/** What was found on disk. */
-struct RaftRestored
+/** State read from disk at startup. */
+struct RaftPersistentState
 {
-    RaftHardState hardState; ///< Last one synced.
-    RaftSnapshot snapshot; ///< Index 0 where there is none.
-    std::uint64_t baseIndex = 0; ///< The log starts after this.
+    RaftHardState hardState; ///< Last synced hard state.
+    RaftSnapshot snapshot; ///< Its index is 0 if there is none.
+    std::uint64_t baseIndex = 0; ///< The log starts after this index.
     std::uint64_t baseTerm = 0; ///< Term of the entry at baseIndex.
-    std::vector<RaftEntry> entries; ///< From baseIndex + 1, without gaps.
-    std::uint64_t wholeBytes = 0; ///< Of the log; up to here it was synced before it was used.
+    std::vector<RaftEntry> entries; ///< Entries from baseIndex + 1, without gaps.
+    std::uint64_t initialBytes = 0; ///< Size of the log file when it was put in place, already synced.
 };
 
 enum class RaftRole : std::uint8_t { Follower, PreCandidate, Candidate, Leader };
--- a/src/consensus/replica_group_base.h
+++ b/src/consensus/replica_group_base.h
@@ -1,5 +1,5 @@
-/** @file replica_group_base.h  One replicated state machine as its users see it: propose a command, confirm a read.
- * Several machines may stand on one node, that is on one log with one leader. */
+/** @file replica_group_base.h  A replicated state machine with typed access: propose commands and confirm reads.
+ * Several state machines may share one node, that is one log with one leader. */
 #pragma once
 
 #include <concepts>
@@ -16,7 +16,7 @@
 namespace Chestnuthook
 {
 
-/** What a replicated state machine offers its group. */
+/** Requirements for a replicated state machine. */
 template<typename T>
 concept StateMachine = requires(T &machine, const T &constMachine, std::uint64_t index, std::string_view bytes)
 {
@@ -36,33 +36,34 @@
 class ReplicaGroup
 {
 public:
-    /** Stands on @p node, which outlives it, under @p tag; before the node is opened. */
+    /** Registers with @p node, which must outlive this, under @p tag. Must be called before the node is opened. */
     ReplicaGroup(ReplicaNode &node, std::uint8_t tag)
         : node(node)
         , tag(tag)
     {
-        MachineHooks hooks;
-        hooks.apply = [this](std::uint64_t index, std::string_view command) {
+        StateMachineCallbacks callbacks;
+        callbacks.apply = [this](std::uint64_t index, std::string_view command) {
             return this->machine.apply(index, command);
         };
-        hooks.snapshot = [this]() {
+        callbacks.snapshot = [this]() {
             return this->machine.snapshot();
         };
-        hooks.restore = [this](std::string_view bytes) {
+        callbacks.restore = [this](std::string_view bytes) {
             this->machine.restore(bytes);
         };
-        node.host(tag, std::move(hooks));
+        node.addStateMachine(tag, std::move(callbacks));
     }
     ReplicaGroup(const ReplicaGroup &) = delete;
     ReplicaGroup &operator=(const ReplicaGroup &) = delete;
 
-    /** Commits @p command. @return the machine's reply; NotLeader or NoQuorum where it can't be committed here. */
+    /** Commits @p command. @return the state machine's reply; NotLeader or NoQuorum if it can't be committed here. */
     [[nodiscard]] kj::Promise<Result<std::string>> propose(std::string command, std::string requestId = {})
     {
         return this->node.propose(this->tag, std::move(command), std::move(requestId));
     }
 
-    /** Resolves once this member has applied all that was committed when it was called, and a quorum said so. */
+    /** Resolves once this member has applied all entries that were committed at the time of the call, as confirmed by a
+     * quorum. */
     [[nodiscard]] kj::Promise<Result<void>> confirmRead()
     {
         return this->node.confirmRead();
@@ -77,11 +78,11 @@
         return this->node.term();
     }
 
-    Machine machine; ///< The state; changed by committed commands only.
+    Machine machine; ///< State machine; changed by committed commands only.
 
 private:
-    ReplicaNode &node; ///< The log.
-    std::uint8_t tag; ///< Of this machine on it.
+    ReplicaNode &node; ///< Node with the replicated log.
+    std::uint8_t tag; ///< Tag of this state machine on the log.
 };
 
 } // namespace Chestnuthook
--- a/src/consensus/replica_membership.cpp
+++ b/src/consensus/replica_membership.cpp
@@ -1,4 +1,4 @@
-/** @file replica_membership.cpp  Founding of a group, and changes of its members. */
+/** @file replica_membership.cpp  Bootstrap of a group and changes of its membership. */
 #include <utility>
 
 #include <kj/async.h>
@@ -13,29 +13,30 @@
 namespace
 {
 
-constexpr Duration FoundingPeriod = std::chrono::milliseconds(200);
-constexpr Duration CatchUpLook = std::chrono::milliseconds(25);
-constexpr unsigned CatchUpTries = 2400; ///< Looks before an operator is told to ask again: a minute.
+constexpr Duration BootstrapRetryInterval = std::chrono::milliseconds(200);
+constexpr Duration CatchUpPollInterval = std::chrono::milliseconds(25);
+constexpr unsigned MaxCatchUpPolls = 2400; ///< Polls before the operator is told to retry: one minute.
 
 std::string nameOfIdentity(const std::string &identity)
 {
     return identity.substr(0, identity.rfind('.'));
 }
 
-/** What the other members of a new group said. */
-struct Greetings
+/** Replies of the other members of a new group. */
+struct HelloReplies
 {
-    RaftMembership members; ///< With a vote each.
-    bool anyFounded = false; ///< One has taken part in a group: then this folder was wiped.
+    RaftMembership members; ///< Initial members, all of them voters.
+    bool anyHasRaftState = false; ///< One is already part of a group, so this member's folder was wiped.
 };
 
 } // namespace
 
-/** Only the first by name founds, and only once all others have said that they never took part. So no wiped member
- * founds a second group: the others have voted or hold entries by then, or nothing was ever acknowledged. */
-void ReplicaNode::tryFound()
+/** Only the first member by name bootstraps the group, and only once all others have reported that they never were part
+ * of one. Thus a wiped member can't bootstrap a second group: unless nothing was ever acknowledged, another member has
+ * voted or has entries. */
+void ReplicaNode::tryBootstrap()
 {
-    if (this->settings.join || this->hasTakenPart() || this->founding) {
+    if (this->settings.join || this->hasRaftState() || this->bootstrapping) {
         return;
     }
     const std::string address = this->settings.address;
@@ -44,32 +45,33 @@
     if (initial.begin()->first != this->settings.name) {
         return;
     }
-    this->founding = true;
-    auto greetings = std::make_shared<Greetings>();
-    greetings->members[this->identity()] = RaftMember{initial[this->settings.name], true};
+    this->bootstrapping = true;
+    auto helloReplies = std::make_shared<HelloReplies>();
+    helloReplies->members[this->identity()] = RaftMember{initial[this->settings.name], true};
     initial.erase(this->settings.name);
-    kj::Vector<kj::Promise<void>> asked;
+    kj::Vector<kj::Promise<void>> requests;
     for (const auto &[name, memberAddress] : initial) {
-        asked.add(this->links.hello(memberAddress).then([greetings, memberAddress = memberAddress](auto &&answer) {
-            greetings->members[textOf(answer.getIdentity())] = RaftMember{memberAddress, true};
-            greetings->anyFounded = greetings->anyFounded || answer.getFounded();
-        }));
+        requests.add(
+            this->transport.hello(memberAddress).then([helloReplies, memberAddress = memberAddress](auto &&answer) {
+                helloReplies->members[textOf(answer.getIdentity())] = RaftMember{memberAddress, true};
+                helloReplies->anyHasRaftState = helloReplies->anyHasRaftState || answer.getFounded();
+            }));
     }
-    this->loop.detach(kj::joinPromises(asked.releaseAsArray())
+    this->loop.detach(kj::joinPromises(requests.releaseAsArray())
                           .then(
-                              [this, greetings]() {
-                                  if (!greetings->anyFounded && !this->hasTakenPart()) {
-                                      this->core->found(greetings->members);
+                              [this, helloReplies]() {
+                                  if (!helloReplies->anyHasRaftState && !this->hasRaftState()) {
+                                      this->core->bootstrap(helloReplies->members);
                                       this->flush();
                                   }
                               },
                               [](kj::Exception && /*exception*/) {
-                                  // Asked again below.
+                                  // Retried below.
                               })
                           .then([this]() {
-                              this->founding = false;
-                              this->foundingTimer = this->loop.timers().after(FoundingPeriod, [this]() {
-                                  this->tryFound();
+                              this->bootstrapping = false;
+                              this->bootstrapTimer = this->loop.timers().after(BootstrapRetryInterval, [this]() {
+                                  this->tryBootstrap();
                               });
                           }));
 }
@@ -91,7 +93,7 @@
     }
     const auto index = this->core->proposeMembership(next);
     if (!index) {
-        return Result<void>(fail(ErrorKind::NoQuorum, "another change of the members is under way"));
+        return Result<void>(fail(ErrorKind::NoQuorum, "another membership change is in progress"));
     }
     return this->awaitCommit(*index).then([](Result<std::string> &&done) {
         return done ? Result<void>() : Result<void>(tl::unexpected(done.error()));
@@ -103,25 +105,26 @@
     if (!this->isLeader()) {
         return Result<void>(this->notLeader());
     }
-    return this->links.hello(address).then(
+    return this->transport.hello(address).then(
         [this, name, address](auto &&answer) -> kj::Promise<Result<void>> {
             const std::string identity = textOf(answer.getIdentity());
             if (nameOfIdentity(identity) != name) {
                 return Result<void>(fail(ErrorKind::Conflict, "the member at " + address + " is " + identity));
             }
-            const auto known = this->identityOf(name);
-            if (known && *known != identity) {
+            const auto current = this->identityOf(name);
+            if (current && *current != identity) {
                 return Result<void>(
-                    fail(ErrorKind::Conflict, *known + " is a member; remove it first, its data folder is lost"));
+                    fail(ErrorKind::Conflict, *current + " is a member; remove it first, its data folder is lost"));
             }
-            if (known) {
-                return this->promote(identity, CatchUpTries);
+            if (current) {
+                return this->promoteToVoter(identity, MaxCatchUpPolls);
             }
             RaftMembership next = this->core->membership();
             next[identity] = RaftMember{address, false};
             return this->proposeMembership(std::move(next))
                 .then([this, identity](Result<void> &&done) -> kj::Promise<Result<void>> {
-                    return done ? this->promote(identity, CatchUpTries) : kj::Promise<Result<void>>(kj::mv(done));
+                    return done ? this->promoteToVoter(identity, MaxCatchUpPolls)
+                                : kj::Promise<Result<void>>(kj::mv(done));
                 });
         },
         [address](kj::Exception &&exception) -> kj::Promise<Result<void>> {
@@ -129,7 +132,7 @@
         });
 }
 
-kj::Promise<Result<void>> ReplicaNode::promote(std::string identity, unsigned triesLeft)
+kj::Promise<Result<void>> ReplicaNode::promoteToVoter(std::string identity, unsigned pollsLeft)
 {
     const RaftMembership &members = this->core->membership();
     const auto member = members.find(identity);
@@ -137,37 +140,38 @@
         return Result<void>(this->notLeader());
     }
     if (member->second.voter) {
-        return this->awaitMatch(identity, this->core->commitIndex(), triesLeft);
+        return this->waitUntilReplicated(identity, this->core->commitIndex(), pollsLeft);
     }
-    if (this->core->matchOf(identity) < this->core->commitIndex()) {
-        if (triesLeft == 0) {
-            return Result<void>(fail(ErrorKind::NoQuorum, identity + " has not caught up yet"));
+    if (this->core->matchIndexOf(identity) < this->core->commitIndex()) {
+        if (pollsLeft == 0) {
+            return Result<void>(fail(ErrorKind::NoQuorum, identity + " has not caught up with the log yet"));
         }
-        return this->loop.kjTimer().afterDelay(kjDuration(CatchUpLook)).then([this, identity, triesLeft]() {
-            return this->promote(identity, triesLeft - 1);
+        return this->loop.kjTimer().afterDelay(kjDuration(CatchUpPollInterval)).then([this, identity, pollsLeft]() {
+            return this->promoteToVoter(identity, pollsLeft - 1);
         });
     }
     RaftMembership next = members;
     next[identity].voter = true;
     return this->proposeMembership(std::move(next))
-        .then([this, identity, triesLeft](Result<void> &&done) -> kj::Promise<Result<void>> {
+        .then([this, identity, pollsLeft](Result<void> &&done) -> kj::Promise<Result<void>> {
             if (!done) {
                 return kj::mv(done);
             }
-            return this->awaitMatch(identity, this->core->commitIndex(), triesLeft);
+            return this->waitUntilReplicated(identity, this->core->commitIndex(), pollsLeft);
         });
 }
 
-kj::Promise<Result<void>> ReplicaNode::awaitMatch(std::string identity, std::uint64_t index, unsigned triesLeft)
+kj::Promise<Result<void>> ReplicaNode::waitUntilReplicated(
+    std::string identity, std::uint64_t index, unsigned pollsLeft)
 {
-    if (this->core->matchOf(identity) >= index) {
+    if (this->core->matchIndexOf(identity) >= index) {
         return Result<void>();
     }
-    if (triesLeft == 0 || !this->isLeader()) {
-        return Result<void>(fail(ErrorKind::NoQuorum, identity + " does not hold all that is committed yet"));
+    if (pollsLeft == 0 || !this->isLeader()) {
+        return Result<void>(fail(ErrorKind::NoQuorum, identity + " does not have all committed entries yet"));
     }
-    return this->loop.kjTimer().afterDelay(kjDuration(CatchUpLook)).then([this, identity, index, triesLeft]() {
-        return this->awaitMatch(identity, index, triesLeft - 1);
+    return this->loop.kjTimer().afterDelay(kjDuration(CatchUpPollInterval)).then([this, identity, index, pollsLeft]() {
+        return this->waitUntilReplicated(identity, index, pollsLeft - 1);
     });
 }
 
--- a/src/consensus/replica_node_base.cpp
+++ b/src/consensus/replica_node_base.cpp
@@ -1,4 +1,4 @@
-/** @file replica_node_base.cpp  Inputs and actions of the core, carried out. */
+/** @file replica_node_base.cpp  Feeds inputs to the core and executes its actions. */
 #include "consensus/replica_node_base.h"
 
 #include <utility>
@@ -14,7 +14,7 @@
 namespace
 {
 
-constexpr Duration TickPeriod = std::chrono::milliseconds(25);
+constexpr Duration TickInterval = std::chrono::milliseconds(25);
 
 class MemberServer final : public Wire::Member::Server
 {
@@ -42,7 +42,7 @@
             return kj::NEVER_DONE;
         }
         context.getResults().setIdentity(this->node.identity());
-        context.getResults().setFounded(this->node.hasTakenPart());
+        context.getResults().setFounded(this->node.hasRaftState());
         return kj::READY_NOW;
     }
 
@@ -65,13 +65,13 @@
 ReplicaNode::ReplicaNode(ControlLoop &loop, ReplicaSettings settings)
     : loop(loop)
     , settings(std::move(settings))
-    , links(loop.rpc(), this->settings.address)
+    , transport(loop.rpc(), this->settings.address)
 {
 }
 
-void ReplicaNode::host(std::uint8_t tag, MachineHooks hooks)
+void ReplicaNode::addStateMachine(std::uint8_t tag, StateMachineCallbacks callbacks)
 {
-    this->machines[tag] = std::move(hooks);
+    this->stateMachines[tag] = std::move(callbacks);
 }
 
 Result<void> ReplicaNode::open(const std::string &folder)
@@ -80,14 +80,14 @@
     if (!done) {
         return done;
     }
-    Result<RaftRestored> restored = this->storage.open(folder);
+    Result<RaftPersistentState> restored = this->storage.open(folder);
     if (!restored) {
         return tl::unexpected(restored.error());
     }
     if (restored->snapshot.index != 0) {
         this->restore(restored->snapshot.data);
     }
-    this->applied = restored->snapshot.index;
+    this->appliedIndex = restored->snapshot.index;
     const std::uint64_t seed = std::hash<std::string>()(this->identity());
     this->core = std::make_unique<RaftCore>(this->settings.raft, this->identity(), seed, std::move(*restored));
     return {};
@@ -95,15 +95,15 @@
 
 void ReplicaNode::start()
 {
-    this->syncing = std::make_unique<StorageThread>(this->storage, [this](std::uint64_t batch) {
-        this->core->synced(batch);
+    this->storageThread = std::make_unique<StorageThread>(this->storage, [this](std::uint64_t batch) {
+        this->core->batchSynced(batch);
         this->flush();
     });
-    this->ticking = this->loop.timers().every(TickPeriod, [this]() {
+    this->tickTimer = this->loop.timers().every(TickInterval, [this]() {
         this->core->tick();
         this->flush();
     });
-    this->tryFound();
+    this->tryBootstrap();
 }
 
 kj::Promise<Result<std::string>> ReplicaNode::propose(std::uint8_t tag, std::string command, std::string requestId)
@@ -118,8 +118,8 @@
 kj::Promise<Result<std::string>> ReplicaNode::awaitCommit(std::uint64_t index)
 {
     auto pair = kj::newPromiseAndFulfiller<BoxedResult<std::string>>();
-    this->pending[index] = Pending{this->term(), kj::mv(pair.fulfiller)};
-    this->flushSoon();
+    this->pendingProposals[index] = PendingProposal{this->term(), kj::mv(pair.fulfiller)};
+    this->scheduleFlush();
     return pair.promise.then([](BoxedResult<std::string> &&result) {
         return std::move(*result);
     });
@@ -133,7 +133,7 @@
     }
     auto pair = kj::newPromiseAndFulfiller<BoxedResult<void>>();
     this->reads[*id] = kj::mv(pair.fulfiller);
-    this->flushSoon();
+    this->scheduleFlush();
     return pair.promise.then([](BoxedResult<void> &&result) {
         return std::move(*result);
     });
@@ -148,14 +148,14 @@
 {
     const std::string &leader = this->core->leader();
     const auto member = this->core->membership().find(leader);
-    return member == this->core->membership().end() ? this->links.addressOf(leader) : member->second.address;
+    return member == this->core->membership().end() ? this->transport.addressOf(leader) : member->second.address;
 }
 
 std::vector<MemberView> ReplicaNode::members() const
 {
     std::vector<MemberView> views;
     for (const auto &[id, member] : this->core->membership()) {
-        MemberView view{id, member.address, member.voter ? "follower" : "learner", this->core->matchOf(id)};
+        MemberView view{id, member.address, member.voter ? "follower" : "learner", this->core->matchIndexOf(id)};
         if (id == this->core->leader()) {
             view.role = "leader";
         }
@@ -167,17 +167,17 @@
 void ReplicaNode::learnAddress(const std::string &member, const std::string &address)
 {
     if (!this->core->membership().contains(member)) {
-        this->links.setAddress(member, address);
+        this->transport.setAddress(member, address);
     }
 }
 
 void ReplicaNode::receive(const RaftMessage &message)
 {
     this->core->receive(message);
-    this->flushSoon();
+    this->scheduleFlush();
 }
 
-bool ReplicaNode::hasTakenPart() const
+bool ReplicaNode::hasRaftState() const
 {
     return this->core->hardState().term != 0 || this->core->lastIndex() != 0;
 }
@@ -187,14 +187,14 @@
     return fail(ErrorKind::NotLeader, "member " + this->settings.name);
 }
 
-void ReplicaNode::flushSoon()
+void ReplicaNode::scheduleFlush()
 {
-    if (this->flushPlanned) {
+    if (this->flushScheduled) {
         return;
     }
-    this->flushPlanned = true;
+    this->flushScheduled = true;
     this->loop.detach(kj::evalLater([this]() {
-        this->flushPlanned = false;
+        this->flushScheduled = false;
         this->flush();
     }));
 }
@@ -202,35 +202,35 @@
 void ReplicaNode::flush()
 {
     RaftActions actions = this->core->takeActions();
-    this->carryOut(std::move(actions));
-    this->noteRole();
-    this->links.flush();
-    if (this->applied >= this->core->snapshot().index + this->settings.snapshotEntries) {
+    this->executeActions(std::move(actions));
+    this->handleRoleChange();
+    this->transport.flush();
+    if (this->appliedIndex >= this->core->snapshot().index + this->settings.snapshotEntries) {
         this->takeSnapshot();
     }
 }
 
-void ReplicaNode::carryOut(RaftActions actions)
+void ReplicaNode::executeActions(RaftActions actions)
 {
     auto messages = std::exchange(actions.messages, {});
     const auto committed = std::exchange(actions.committed, {});
     const auto confirmed = std::exchange(actions.reads, {});
     const auto installed = actions.install;
     if (actions.batch != 0) {
-        this->syncing->write(std::move(actions));
+        this->storageThread->write(std::move(actions));
     }
     for (const auto &[id, member] : this->core->membership()) {
-        this->links.setAddress(id, member.address);
+        this->transport.setAddress(id, member.address);
     }
     for (RaftMessage &message : messages) {
         if (!this->dropTraffic) {
-            this->links.add(std::move(message));
+            this->transport.enqueue(std::move(message));
         }
     }
     if (installed) {
         this->restore(installed->data);
-        this->applied = installed->index;
-        logEvent(EventKind::SnapshotTaken, {{"received", "yes"}, {"index", std::to_string(this->applied)}});
+        this->appliedIndex = installed->index;
+        logEvent(EventKind::SnapshotTaken, {{"received", "yes"}, {"index", std::to_string(this->appliedIndex)}});
     }
     for (const RaftEntry &entry : committed) {
         this->apply(entry);
@@ -240,30 +240,30 @@
 
 void ReplicaNode::apply(const RaftEntry &entry)
 {
-    this->applied = entry.index;
+    this->appliedIndex = entry.index;
     std::string reply;
     if (entry.kind == RaftEntryKind::Command) {
         reply = this->applyCommand(entry);
     } else if (entry.kind == RaftEntryKind::Membership) {
         logEvent(EventKind::MembershipChanged, {{"index", std::to_string(entry.index)}, {"members", entry.data}});
     }
-    const auto waiting = this->pending.find(entry.index);
-    if (waiting == this->pending.end()) {
+    const auto waiter = this->pendingProposals.find(entry.index);
+    if (waiter == this->pendingProposals.end()) {
         return;
     }
-    if (waiting->second.term == entry.term) {
-        waiting->second.fulfiller->fulfill(boxResult(Result<std::string>(std::move(reply))));
+    if (waiter->second.term == entry.term) {
+        waiter->second.fulfiller->fulfill(boxResult(Result<std::string>(std::move(reply))));
     } else {
-        waiting->second.fulfiller->fulfill(
-            boxResult(Result<std::string>(this->notLeader()))); // Replaced: it never commits.
+        waiter->second.fulfiller->fulfill(
+            boxResult(Result<std::string>(this->notLeader()))); // Replaced by another entry; never committed.
     }
-    this->pending.erase(waiting);
+    this->pendingProposals.erase(waiter);
 }
 
 std::string ReplicaNode::applyCommand(const RaftEntry &entry)
 {
     std::string reply;
-    // A command that can't be read is the same nothing on every member; it must not end them one after the other.
+    // A malformed command must have no effect on every member alike; an exception would end one member after another.
     kj::runCatchingExceptions([&]() {
         FlatMessage message(entry.data);
         const auto proposal = message.root<Wire::Proposal>();
@@ -273,8 +273,8 @@
             reply = first->second;
             return;
         }
-        const auto machine = this->machines.find(proposal.getMachine());
-        if (machine != this->machines.end()) {
+        const auto machine = this->stateMachines.find(proposal.getMachine());
+        if (machine != this->stateMachines.end()) {
             reply = machine->second.apply(entry.index, bytesOf(proposal.getCommand()));
         }
         if (!requestId.empty()) {
@@ -287,33 +287,33 @@
 void ReplicaNode::answerReads(const std::vector<RaftRead> &confirmed)
 {
     for (const RaftRead &read : confirmed) {
-        const auto waiting = this->reads.find(read.id);
-        if (waiting == this->reads.end()) {
+        const auto waiter = this->reads.find(read.id);
+        if (waiter == this->reads.end()) {
             continue;
         }
-        waiting->second->fulfill(boxResult(read.index == 0 ? Result<void>(this->notLeader()) : Result<void>()));
-        this->reads.erase(waiting);
+        waiter->second->fulfill(boxResult(read.index == 0 ? Result<void>(this->notLeader()) : Result<void>()));
+        this->reads.erase(waiter);
     }
 }
 
-void ReplicaNode::noteRole()
+void ReplicaNode::handleRoleChange()
 {
     const RaftRole role = this->core->role();
-    if (role != this->seenRole || this->term() != this->seenTerm) {
+    if (role != this->reportedRole || this->term() != this->reportedTerm) {
         if (role == RaftRole::Leader) {
             logEvent(EventKind::LeaderElected, {{"term", std::to_string(this->term())}, {"leader", this->identity()}});
-        } else if (this->term() != this->seenTerm) {
+        } else if (this->term() != this->reportedTerm) {
             logEvent(EventKind::TermChanged, {{"term", std::to_string(this->term())}});
         }
-        if (role != RaftRole::Leader || this->term() != this->seenTerm) {
+        if (role != RaftRole::Leader || this->term() != this->reportedTerm) {
             this->failPending();
         }
-        this->seenRole = role;
-        this->seenTerm = this->term();
-        this->leads = false;
+        this->reportedRole = role;
+        this->reportedTerm = this->term();
+        this->leadershipReported = false;
     }
-    if (!this->leads && this->isLeader()) {
-        this->leads = true;
+    if (!this->leadershipReported && this->isLeader()) {
+        this->leadershipReported = true;
         if (this->onBecameLeader) {
             this->onBecameLeader();
         }
@@ -322,14 +322,14 @@
 
 void ReplicaNode::failPending()
 {
-    auto failing = std::exchange(this->pending, {});
-    for (auto &[index, waiting] : failing) {
-        if (waiting.term == this->term() && this->core->role() == RaftRole::Leader) {
-            this->pending[index] = kj::mv(waiting);
+    auto failing = std::exchange(this->pendingProposals, {});
+    for (auto &[index, waiter] : failing) {
+        if (waiter.term == this->term() && this->core->role() == RaftRole::Leader) {
+            this->pendingProposals[index] = kj::mv(waiter);
             continue;
         }
-        waiting.fulfiller->fulfill(boxResult(
-            Result<std::string>(fail(ErrorKind::NoQuorum, "the leader was lost before the commit was known"))));
+        waiter.fulfiller->fulfill(boxResult(
+            Result<std::string>(fail(ErrorKind::NoQuorum, "leadership was lost before the commit was confirmed"))));
     }
 }
 
--- a/src/consensus/replica_node_base.h
+++ b/src/consensus/replica_node_base.h
@@ -1,4 +1,4 @@
-/** @file replica_node_base.h  Runs one replicated log among the control members and hosts the state machines on it. */
+/** @file replica_node_base.h  A member of a Raft group with its log, storage, transport and state machines. */
 #pragma once
 
 #include <cstdint>
@@ -13,7 +13,7 @@
 
 #include <kj/async.h>
 
-#include "consensus/member_links_base.h"
+#include "consensus/member_transport_base.h"
 #include "consensus/raft_core_base.h"
 #include "consensus/raft_storage_base.h"
 #include "consensus/storage_thread_base.h"
@@ -25,36 +25,36 @@
 namespace Chestnuthook
 {
 
-/** One state machine as the node sees it. */
-struct MachineHooks
+/** Callbacks of one state machine. */
+struct StateMachineCallbacks
 {
-    std::function<std::string(std::uint64_t, std::string_view)> apply; ///< Applies a command; gives the reply.
-    std::function<std::string()> snapshot; ///< The whole state.
+    std::function<std::string(std::uint64_t, std::string_view)> apply; ///< Applies a command; returns its reply.
+    std::function<std::string()> snapshot; ///< Serializes the whole state.
     std::function<void(std::string_view)> restore; ///< Replaces the state.
 };
 
-/** How a member takes part. */
+/** Configuration of a member. */
 struct ReplicaSettings
 {
-    std::string name; ///< Of this member.
-    std::string address; ///< Our control port.
-    std::map<std::string, std::string> initialMembers; ///< Names and addresses of a new group; empty: we alone.
-    bool join = false; ///< Never founds a group: waits to be added to one.
+    std::string name; ///< Name of this member.
+    std::string address; ///< Own control port, ip:port.
+    std::map<std::string, std::string> initialMembers; ///< Addresses by name in a new group; empty: this member only.
+    bool join = false; ///< Never bootstrap a group; wait to be added to one.
     std::uint64_t snapshotEntries = 10000; ///< Entries applied between snapshots.
-    RaftSettings raft; ///< Bounds of the log's rules.
+    RaftSettings raft; ///< Parameters of the protocol.
 };
 
-/** One member as operators see it. */
+/** One member as shown to operators. */
 struct MemberView
 {
     std::string identity; ///< Name and random part.
     std::string address; ///< ip:port.
     std::string role; ///< leader, follower, candidate or learner.
-    std::uint64_t matchIndex = 0; ///< What it holds, as the leader knows.
+    std::uint64_t matchIndex = 0; ///< Highest log index known to be durable there.
 };
 
-/** A result on its way to a waiter. It stands on the heap, because the compiler takes a Result within a promise of kj
- * for one that may be uninitialized. */
+/** A result for a kj promise, allocated on the heap, because the compiler warns that a Result inside a kj promise may
+ * be uninitialized. */
 template<typename T>
 using BoxedResult = std::unique_ptr<Result<T>>;
 
@@ -64,7 +64,7 @@
     return std::make_unique<Result<T>>(std::move(result));
 }
 
-/** For the control thread. */
+/** One member of a Raft group. Used on the control thread only. */
 class ReplicaNode
 {
 public:
@@ -72,34 +72,35 @@
     ReplicaNode(const ReplicaNode &) = delete;
     ReplicaNode &operator=(const ReplicaNode &) = delete;
 
-    /** Hosts a machine under @p tag, before `open`. */
-    void host(std::uint8_t tag, MachineHooks hooks);
+    /** Registers a state machine under @p tag. Must be called before `open`. */
+    void addStateMachine(std::uint8_t tag, StateMachineCallbacks callbacks);
 
-    /** Restores what the folder holds. Errors: StorageFailed, StorageCorrupt. */
+    /** Restores the state stored in @p folder. Errors: StorageFailed, StorageCorrupt. */
     Result<void> open(const std::string &folder);
 
-    /** Starts to take part. */
+    /** Starts storage, ticks and, if needed, the bootstrap of the group. */
     void start();
 
-    /** Commits @p command. A resend under the same non-empty @p requestId gets the first reply.
-     * Errors: NotLeader; NoQuorum where the leader was lost meanwhile and the command may still be committed. */
+    /** Commits @p command. A command resent with the same non-empty @p requestId gets the first reply.
+     * Errors: NotLeader; NoQuorum if leadership was lost meanwhile and the command may still be committed. */
     [[nodiscard]] kj::Promise<Result<std::string>> propose(
         std::uint8_t tag, std::string command, std::string requestId);
 
-    /** Resolves once the machines here hold all that was committed when it was called, and a quorum said so.
-     * Errors: NotLeader, NoQuorum. */
+    /** Resolves once the state machines have applied all entries that were committed at the time of the call, as
+     * confirmed by a quorum. Errors: NotLeader, NoQuorum. */
     [[nodiscard]] kj::Promise<Result<void>> confirmRead();
 
-    /** Adds a member as a learner and gives it a vote once it has caught up; done when it holds all that is committed.
-     * May be called again after a failure. Errors: NotLeader, NoQuorum, Conflict. */
+    /** Adds a member as a learner and promotes it to voter once it has caught up. Resolves when it has all committed
+     * entries. May be called again after a failure. Errors: NotLeader, NoQuorum, Conflict. */
     [[nodiscard]] kj::Promise<Result<void>> addMember(std::string name, std::string address);
     /** Errors: NotLeader, NoQuorum, NotFound, Conflict. */
     [[nodiscard]] kj::Promise<Result<void>> removeMember(std::string name);
 
-    /** The capability for other members. */
+    /** Creates the capability for the other members. */
     [[nodiscard]] Wire::Member::Client makeService();
 
-    /** Whether this member leads and has committed in its term, so that its machines hold all that is committed. */
+    /** Whether this member leads and has committed an entry of its term, so that its state machines include all
+     * committed entries. */
     [[nodiscard]] bool isLeader() const
     {
         return this->core->committedInTerm();
@@ -108,7 +109,7 @@
     {
         return this->core->hardState().term;
     }
-    /** Address of the leader; empty where unknown. */
+    /** Address of the leader; empty if unknown. */
     [[nodiscard]] std::string leaderAddress() const;
     [[nodiscard]] std::vector<MemberView> members() const;
     [[nodiscard]] const std::string &identity() const
@@ -116,63 +117,63 @@
         return this->storage.identity();
     }
 
-    /** Called when this member has become a leader in the sense of `isLeader`. */
+    /** Called when `isLeader` becomes true. */
     std::function<void()> onBecameLeader;
 
-    bool dropTraffic = false; ///< Test hook: nothing goes to or comes from other members.
+    bool dropTraffic = false; ///< Test hook: drops all messages to and from other members.
 
-    // For the Member service.
+    // Called by the Member service.
     void learnAddress(const std::string &member, const std::string &address);
     void receive(const RaftMessage &message);
-    [[nodiscard]] bool hasTakenPart() const;
+    [[nodiscard]] bool hasRaftState() const;
 
 private:
-    /** A proposal that waits for its commit. */
-    struct Pending
+    /** A proposal that is not committed yet. */
+    struct PendingProposal
     {
-        std::uint64_t term = 0; ///< Of the entry; another term there means that it was replaced.
-        kj::Own<kj::PromiseFulfiller<BoxedResult<std::string>>> fulfiller; ///< For the proposer.
+        std::uint64_t term = 0; ///< Term of the entry; a committed entry of another term has replaced it.
+        kj::Own<kj::PromiseFulfiller<BoxedResult<std::string>>> fulfiller; ///< Completes the proposer's promise.
     };
 
     kj::Promise<Result<std::string>> awaitCommit(std::uint64_t index);
-    void flushSoon();
+    void scheduleFlush();
     void flush();
-    void carryOut(RaftActions actions);
+    void executeActions(RaftActions actions);
     void apply(const RaftEntry &entry);
     std::string applyCommand(const RaftEntry &entry);
-    void answerReads(const std::vector<RaftRead> &reads);
-    void noteRole();
+    void answerReads(const std::vector<RaftRead> &confirmed);
+    void handleRoleChange();
     void failPending();
     void takeSnapshot();
     std::string snapshotBytes() const;
     void restore(std::string_view bytes);
     void rememberReply(const std::string &requestId, std::uint64_t index, std::string reply);
-    void tryFound();
+    void tryBootstrap();
     kj::Promise<Result<void>> proposeMembership(RaftMembership next);
-    kj::Promise<Result<void>> promote(std::string identity, unsigned triesLeft);
-    kj::Promise<Result<void>> awaitMatch(std::string identity, std::uint64_t index, unsigned triesLeft);
+    kj::Promise<Result<void>> promoteToVoter(std::string identity, unsigned pollsLeft);
+    kj::Promise<Result<void>> waitUntilReplicated(std::string identity, std::uint64_t index, unsigned pollsLeft);
     [[nodiscard]] std::optional<std::string> identityOf(const std::string &name) const;
     [[nodiscard]] tl::unexpected<Error> notLeader() const;
 
     ControlLoop &loop; ///< Outlives this.
-    const ReplicaSettings settings; ///< As given.
-    std::map<std::uint8_t, MachineHooks> machines; ///< By tag.
+    const ReplicaSettings settings; ///< Configuration of this member.
+    std::map<std::uint8_t, StateMachineCallbacks> stateMachines; ///< State machines by tag.
     RaftStorage storage; ///< Used by the storage thread after `open`.
     std::unique_ptr<RaftCore> core; ///< Set by `open`.
-    MemberLinks links; ///< To the other members.
-    std::map<std::uint64_t, Pending> pending; ///< By index.
-    std::map<std::uint64_t, kj::Own<kj::PromiseFulfiller<BoxedResult<void>>>> reads; ///< By id of the read.
+    MemberTransport transport; ///< Messages to the other members.
+    std::map<std::uint64_t, PendingProposal> pendingProposals; ///< Proposals by log index.
+    std::map<std::uint64_t, kj::Own<kj::PromiseFulfiller<BoxedResult<void>>>> reads; ///< Waiting reads by read id.
     std::map<std::string, std::string> replies; ///< First replies by request id; part of the replicated state.
     std::deque<std::pair<std::uint64_t, std::string>> replyOrder; ///< Index and request id, oldest first.
-    std::uint64_t applied = 0; ///< Index of the last entry applied.
-    RaftRole seenRole = RaftRole::Follower; ///< To tell changes.
-    std::uint64_t seenTerm = 0; ///< To tell changes.
-    bool leads = false; ///< As onBecameLeader was told.
-    bool flushPlanned = false; ///< A flush runs at the end of this turn of the loop.
-    bool founding = false; ///< Questions to the other members are under way.
-    TimerSubscription ticking; ///< Runs the core's ticks.
-    TimerSubscription foundingTimer; ///< Runs tryFound until the group is there.
-    std::unique_ptr<StorageThread> syncing; ///< Last, so that it ends first.
+    std::uint64_t appliedIndex = 0; ///< Index of the last entry applied.
+    RaftRole reportedRole = RaftRole::Follower; ///< Last role handled by handleRoleChange.
+    std::uint64_t reportedTerm = 0; ///< Last term handled by handleRoleChange.
+    bool leadershipReported = false; ///< Whether onBecameLeader was called in this term.
+    bool flushScheduled = false; ///< A flush will run later in the event loop.
+    bool bootstrapping = false; ///< Waiting for hello replies of the other members.
+    TimerSubscription tickTimer; ///< Runs the ticks of the core.
+    TimerSubscription bootstrapTimer; ///< Runs tryBootstrap until the group exists.
+    std::unique_ptr<StorageThread> storageThread; ///< Declared last, so that it is stopped first.
 };
 
 } // namespace Chestnuthook
--- a/src/consensus/replica_snapshot.cpp
+++ b/src/consensus/replica_snapshot.cpp
@@ -1,4 +1,4 @@
-/** @file replica_snapshot.cpp  Snapshots of all machines of a node, and the replies that it remembers. */
+/** @file replica_snapshot.cpp  Snapshots of a node: the state machines and the remembered replies. */
 #include <capnp/message.h>
 
 #include "consensus/replica_node_base.h"
@@ -11,9 +11,9 @@
 namespace
 {
 
-constexpr std::uint32_t SnapshotVersion = 1; ///< Grows when the form changes.
-constexpr std::size_t MaxReplies = 32768;
-constexpr std::uint64_t KeptEntries = 1000; ///< Before a snapshot, for members that lag a little.
+constexpr std::uint32_t SnapshotVersion = 1; ///< Raised when the format changes.
+constexpr std::size_t MaxRememberedReplies = 32768;
+constexpr std::uint64_t KeptLogEntries = 1000; ///< Log entries kept before a snapshot, for members that lag slightly.
 
 } // namespace
 
@@ -21,7 +21,7 @@
 {
     this->replies.emplace(requestId, std::move(reply));
     this->replyOrder.emplace_back(index, requestId);
-    if (this->replyOrder.size() > MaxReplies) {
+    if (this->replyOrder.size() > MaxRememberedReplies) {
         this->replies.erase(this->replyOrder.front().second);
         this->replyOrder.pop_front();
     }
@@ -32,9 +32,9 @@
     capnp::MallocMessageBuilder message;
     auto snapshot = message.initRoot<Wire::NodeSnapshot>();
     snapshot.setVersion(SnapshotVersion);
-    auto states = snapshot.initMachines(static_cast<unsigned>(this->machines.size()));
+    auto states = snapshot.initMachines(static_cast<unsigned>(this->stateMachines.size()));
     unsigned next = 0;
-    for (const auto &[tag, machine] : this->machines) {
+    for (const auto &[tag, machine] : this->stateMachines) {
         states[next].setMachine(tag);
         states[next++].setState(dataOf(machine.snapshot()));
     }
@@ -52,10 +52,10 @@
 {
     FlatMessage message(bytes);
     const auto snapshot = message.root<Wire::NodeSnapshot>();
-    KJ_REQUIRE(snapshot.getVersion() == SnapshotVersion, "unknown version of the snapshot");
+    KJ_REQUIRE(snapshot.getVersion() == SnapshotVersion, "unknown snapshot version");
     for (const auto state : snapshot.getMachines()) {
-        const auto machine = this->machines.find(state.getMachine());
-        KJ_REQUIRE(machine != this->machines.end(), "the snapshot holds an unknown machine");
+        const auto machine = this->stateMachines.find(state.getMachine());
+        KJ_REQUIRE(machine != this->stateMachines.end(), "the snapshot contains an unknown state machine");
         machine->second.restore(bytesOf(state.getState()));
     }
     this->replies.clear();
@@ -67,8 +67,8 @@
 
 void ReplicaNode::takeSnapshot()
 {
-    const std::uint64_t keepFrom = this->applied > KeptEntries ? this->applied - KeptEntries : 1;
-    this->core->compact(this->applied, this->snapshotBytes(), keepFrom);
+    const std::uint64_t keepFrom = this->appliedIndex > KeptLogEntries ? this->appliedIndex - KeptLogEntries : 1;
+    this->core->compact(this->appliedIndex, this->snapshotBytes(), keepFrom);
     RaftCompaction compaction;
     compaction.snapshot = this->core->snapshot();
     compaction.hardState = this->core->hardState();
@@ -77,8 +77,8 @@
     for (std::uint64_t i = this->core->firstIndex(); i <= this->core->lastIndex(); ++i) {
         compaction.entries.push_back(this->core->entryAt(i));
     }
-    this->syncing->compact(std::move(compaction));
-    logEvent(EventKind::SnapshotTaken, {{"received", "no"}, {"index", std::to_string(this->applied)}});
+    this->storageThread->compact(std::move(compaction));
+    logEvent(EventKind::SnapshotTaken, {{"received", "no"}, {"index", std::to_string(this->appliedIndex)}});
 }
 
 } // namespace Chestnuthook
--- a/src/consensus/storage_thread_base.cpp
+++ b/src/consensus/storage_thread_base.cpp
@@ -1,4 +1,4 @@
-/** @file storage_thread_base.cpp  The storage thread. */
+/** @file storage_thread_base.cpp  Job loop of the storage thread and its notifications to the control thread. */
 #include "consensus/storage_thread_base.h"
 
 #include <utility>
@@ -15,7 +15,7 @@
 namespace
 {
 
-void endWhereFailed(const Result<void> &done)
+void exitOnFailure(const Result<void> &done)
 {
     if (!done) {
         logEvent(EventKind::StorageFault, {{"error", errorText(done.error())}});
@@ -29,7 +29,7 @@
 StorageThread::StorageThread(RaftStorage &storage, std::function<void(std::uint64_t)> onSynced)
     : storage(storage)
     , onSynced(std::move(onSynced))
-    , listening(this->listen())
+    , syncListener(this->listenForSyncs())
     , thread([this]() {
         this->run();
     })
@@ -40,42 +40,42 @@
 {
     {
         const std::lock_guard<std::mutex> lock(this->mutex);
-        this->ending = true;
+        this->stopping = true;
     }
-    this->wake.notify_one();
+    this->jobAvailable.notify_one();
     this->thread.join();
 }
 
 void StorageThread::write(RaftActions actions)
 {
-    this->add(std::move(actions));
+    this->enqueue(std::move(actions));
 }
 
 void StorageThread::compact(RaftCompaction compaction)
 {
-    this->add(std::move(compaction));
+    this->enqueue(std::move(compaction));
 }
 
-void StorageThread::add(Job job)
+void StorageThread::enqueue(Job job)
 {
     {
         const std::lock_guard<std::mutex> lock(this->mutex);
-        this->waiting.push_back(std::move(job));
+        this->queue.push_back(std::move(job));
     }
-    this->wake.notify_one();
+    this->jobAvailable.notify_one();
 }
 
 void StorageThread::run()
 {
     std::unique_lock<std::mutex> lock(this->mutex);
     while (true) {
-        this->wake.wait(lock, [this]() {
-            return this->ending || !this->waiting.empty();
+        this->jobAvailable.wait(lock, [this]() {
+            return this->stopping || !this->queue.empty();
         });
-        if (this->waiting.empty()) {
+        if (this->queue.empty()) {
             return;
         }
-        std::deque<Job> jobs = std::exchange(this->waiting, {});
+        std::deque<Job> jobs = std::exchange(this->queue, {});
         lock.unlock();
         this->runJobs(std::move(jobs));
         lock.lock();
@@ -87,8 +87,8 @@
     std::vector<RaftActions> batches;
     const auto writeBatches = [&]() {
         if (!batches.empty()) {
-            endWhereFailed(this->storage.write(batches));
-            this->notify(batches.back().batch);
+            exitOnFailure(this->storage.write(batches));
+            this->notifySynced(batches.back().batch);
             batches.clear();
         }
     };
@@ -97,26 +97,26 @@
             batches.push_back(std::move(*actions));
         } else {
             writeBatches();
-            endWhereFailed(this->storage.compact(std::get<RaftCompaction>(job)));
+            exitOnFailure(this->storage.compact(std::get<RaftCompaction>(job)));
         }
     }
     writeBatches();
 }
 
-void StorageThread::notify(std::uint64_t batch)
+void StorageThread::notifySynced(std::uint64_t batch)
 {
-    Fulfiller waker;
+    Fulfiller pendingFulfiller;
     {
         const std::lock_guard<std::mutex> lock(this->mutex);
         this->syncedBatch = batch;
-        waker = kj::mv(this->fulfiller);
+        pendingFulfiller = kj::mv(this->fulfiller);
     }
-    if (waker.get() != nullptr) {
-        waker->fulfill();
+    if (pendingFulfiller.get() != nullptr) {
+        pendingFulfiller->fulfill();
     }
 }
 
-kj::Promise<void> StorageThread::listen()
+kj::Promise<void> StorageThread::listenForSyncs()
 {
     auto pair = kj::newPromiseAndCrossThreadFulfiller<void>();
     {
@@ -125,14 +125,14 @@
     }
     return pair.promise
         .then([this]() {
-            auto again = this->listen(); // Before the number is read, so that no notice is lost.
+            auto next = this->listenForSyncs(); // Before the batch is read, so that no notification is lost.
             std::uint64_t batch = 0;
             {
                 const std::lock_guard<std::mutex> lock(this->mutex);
                 batch = this->syncedBatch;
             }
             this->onSynced(batch);
-            return again;
+            return next;
         })
         .eagerlyEvaluate(nullptr);
 }
--- a/src/consensus/storage_thread_base.h
+++ b/src/consensus/storage_thread_base.h
@@ -1,5 +1,5 @@
-/** @file storage_thread_base.h  Runs the syncs of a member on a thread of their own: all that waits is written by one
- * write and one sync. */
+/** @file storage_thread_base.h  Runs the blocking writes of a member on their own thread. All queued batches are
+ * written with one write and one sync. */
 #pragma once
 
 #include <condition_variable>
@@ -17,17 +17,17 @@
 namespace Chestnuthook
 {
 
-/** Made, used and ended on the control thread. A failed write or sync ends the process: what the disk holds is unknown
- * then, and a later sync that works would not mean that earlier data lasts. */
+/** Created, used and destroyed on the control thread. A failed write or sync terminates the process: the content of the
+ * disk is then unknown, and a later successful sync would not prove that the earlier data is durable. */
 class StorageThread
 {
 public:
-    /** @p onSynced is called on the control thread with the number of the newest batch that lasts. */
+    /** @p onSynced is called on the control thread with the number of the newest durable batch. */
     StorageThread(RaftStorage &storage, std::function<void(std::uint64_t)> onSynced);
     StorageThread(const StorageThread &) = delete;
     StorageThread &operator=(const StorageThread &) = delete;
 
-    /** Writes what waits, then ends the thread. */
+    /** Writes all queued jobs, then stops the thread. */
     ~StorageThread();
 
     void write(RaftActions actions);
@@ -38,21 +38,21 @@
     using Fulfiller = kj::Own<kj::CrossThreadPromiseFulfiller<void>>;
 
     void run();
-    void add(Job job);
+    void enqueue(Job job);
     void runJobs(std::deque<Job> jobs);
-    void notify(std::uint64_t batch);
-    kj::Promise<void> listen();
+    void notifySynced(std::uint64_t batch);
+    kj::Promise<void> listenForSyncs();
 
-    RaftStorage &storage; ///< Outlives this; used by the thread only.
+    RaftStorage &storage; ///< Outlives this; used by the storage thread only.
     std::function<void(std::uint64_t)> onSynced; ///< Called on the control thread.
-    std::mutex mutex; ///< Guards what follows; not held over I/O.
-    std::condition_variable wake; ///< Jobs came, or the end.
-    std::deque<Job> waiting; ///< In order.
-    bool ending = false; ///< The thread ends once nothing waits.
-    std::uint64_t syncedBatch = 0; ///< Newest batch that lasts.
-    Fulfiller fulfiller; ///< Wakes the control thread; null once used.
-    kj::Promise<void> listening; ///< The control thread's wait.
-    std::thread thread; ///< Last, so that all else is there when it starts.
+    std::mutex mutex; ///< Guards the queue, `stopping`, `syncedBatch` and `fulfiller`; not held during I/O.
+    std::condition_variable jobAvailable; ///< Signalled on new jobs and on stop.
+    std::deque<Job> queue; ///< Jobs to run, in order.
+    bool stopping = false; ///< The thread ends once the queue is empty.
+    std::uint64_t syncedBatch = 0; ///< Newest durable batch.
+    Fulfiller fulfiller; ///< Notifies the control thread; null once used.
+    kj::Promise<void> syncListener; ///< Receives the notifications on the control thread.
+    std::thread thread; ///< Declared last, so that it starts after all other members exist.
 };
 
 } // namespace Chestnuthook
--- a/tests/support/raft_cluster.cpp
+++ b/tests/support/raft_cluster.cpp
@@ -1,4 +1,4 @@
-/** @file raft_cluster.cpp  The simulated cluster. */
+/** @file raft_cluster.cpp  Random events, checks and simulated disks of the cluster. */
 #include "support/raft_cluster.h"
 
 #include <algorithm>
@@ -11,7 +11,7 @@
 namespace
 {
 
-constexpr std::size_t SettleTicks = 4000;
+constexpr std::size_t MaxConvergenceTicks = 4000;
 
 std::string joined(const std::vector<std::string> &words)
 {
@@ -32,7 +32,7 @@
     return words;
 }
 
-void persist(RaftRestored &disk, const RaftActions &actions)
+void persist(RaftPersistentState &disk, const RaftActions &actions)
 {
     if (actions.install) {
         disk.snapshot = *actions.install;
@@ -51,7 +51,7 @@
     }
 }
 
-void persistCompaction(RaftRestored &disk, const RaftSnapshot &snapshot, std::uint64_t keepFrom)
+void persistCompaction(RaftPersistentState &disk, const RaftSnapshot &snapshot, std::uint64_t keepFrom)
 {
     const std::uint64_t base = std::min(snapshot.index, keepFrom - 1);
     if (snapshot.index <= disk.snapshot.index) {
@@ -81,17 +81,18 @@
     for (const auto &[id, member] : membership) {
         this->start(id);
     }
-    this->nodes["m0"].core->found(membership);
-    this->drain("m0");
+    this->nodes["m0"].core->bootstrap(membership);
+    this->processActions("m0");
     this->syncAll("m0");
 }
 
-void RaftCluster::fault(const std::string &what)
+void RaftCluster::reportViolation(const std::string &what)
 {
-    this->faults.push_back("seed " + std::to_string(this->seed) + " step " + std::to_string(this->step) + ": " + what);
+    this->violations.push_back(
+        "seed " + std::to_string(this->seed) + " step " + std::to_string(this->step) + ": " + what);
 }
 
-const std::string &RaftCluster::anyNode()
+const std::string &RaftCluster::randomNode()
 {
     return std::next(this->nodes.begin(), static_cast<std::ptrdiff_t>(this->random() % this->nodes.size()))->first;
 }
@@ -103,8 +104,8 @@
         return;
     }
     node.core = std::make_unique<RaftCore>(this->settings, id, this->seed * 1000 + ++this->starts, node.disk);
-    node.machine = split(node.disk.snapshot.data);
-    node.applied = node.disk.snapshot.index;
+    node.appliedCommands = split(node.disk.snapshot.data);
+    node.appliedIndex = node.disk.snapshot.index;
 }
 
 void RaftCluster::crash(const std::string &id)
@@ -117,14 +118,14 @@
 void RaftCluster::isolate(const std::string &id)
 {
     for (const auto &[other, node] : this->nodes) {
-        this->cut(id, other);
-        this->cut(other, id);
+        this->cutLink(id, other);
+        this->cutLink(other, id);
     }
 }
 
 void RaftCluster::runRandom(std::size_t steps)
 {
-    for (std::size_t i = 0; i < steps && this->faults.empty(); ++i) {
+    for (std::size_t i = 0; i < steps && this->violations.empty(); ++i) {
         ++this->step;
         this->randomEvent();
     }
@@ -133,47 +134,47 @@
 
 void RaftCluster::randomEvent()
 {
-    const std::uint64_t dice = this->random() % 1000;
-    const std::string id = this->anyNode();
+    const std::uint64_t roll = this->random() % 1000;
+    const std::string id = this->randomNode();
     RaftNode &node = this->nodes[id];
-    if (dice < 450) {
+    if (roll < 450) {
         this->deliverRandom();
         return;
     }
-    if (dice >= 955) {
-        this->randomFault(dice);
+    if (roll >= 955) {
+        this->randomFault(roll);
         return;
     }
     if (node.core == nullptr) {
         return;
     }
-    if (dice < 650) {
+    if (roll < 650) {
         node.core->tick();
-    } else if (dice < 800) {
+    } else if (roll < 800) {
         this->syncSome(id, 1 + this->random() % 3);
-    } else if (dice < 900) {
-        this->propose(this->leader().empty() || dice < 820 ? id : this->leader());
-    } else if (dice < 930) {
+    } else if (roll < 900) {
+        this->propose(this->leader().empty() || roll < 820 ? id : this->leader());
+    } else if (roll < 930) {
         this->requestRead(id);
-    } else if (dice < 940) {
+    } else if (roll < 940) {
         this->compact(id);
     } else {
         this->changeMembership();
     }
-    this->drain(id);
+    this->processActions(id);
 }
 
-void RaftCluster::randomFault(std::uint64_t dice)
+void RaftCluster::randomFault(std::uint64_t roll)
 {
-    const std::string id = this->anyNode();
-    if (dice < 961) {
+    const std::string id = this->randomNode();
+    if (roll < 961) {
         this->crash(id);
-    } else if (dice < 980) {
+    } else if (roll < 980) {
         this->start(id);
-    } else if (dice < 983) {
+    } else if (roll < 983) {
         this->isolate(id);
-    } else if (dice < 988) {
-        this->cut(id, this->anyNode());
+    } else if (roll < 988) {
+        this->cutLink(id, this->randomNode());
     } else {
         this->heal();
     }
@@ -184,21 +185,21 @@
     if (this->network.empty()) {
         return;
     }
-    // Mostly the oldest messages, sometimes any: reordering and long delays.
+    // Mostly one of the oldest messages, sometimes any one: this gives reordering and long delays.
     const std::size_t window =
         this->random() % 10 == 0 ? this->network.size() : std::min<std::size_t>(3, this->network.size());
     const std::size_t at = this->random() % window;
     const RaftMessage message = this->network[at];
-    const std::uint64_t dice = this->random() % 100;
-    if (dice >= 5) { // Else it stays and comes again.
+    const std::uint64_t roll = this->random() % 100;
+    if (roll >= 5) { // Otherwise it stays in the network and is delivered again.
         this->network.erase(this->network.begin() + static_cast<std::ptrdiff_t>(at));
     }
     RaftNode &node = this->nodes[message.to];
-    if (dice >= 90 || node.core == nullptr || this->cuts.contains({message.from, message.to})) {
+    if (roll >= 90 || node.core == nullptr || this->cutLinks.contains({message.from, message.to})) {
         return;
     }
     node.core->receive(message);
-    this->drain(message.to);
+    this->processActions(message.to);
 }
 
 std::size_t RaftCluster::deliver(const std::string &from, const std::string &to, std::size_t limit)
@@ -213,30 +214,30 @@
         this->network.erase(this->network.begin() + static_cast<std::ptrdiff_t>(i));
         if (this->nodes[to].core != nullptr) {
             this->nodes[to].core->receive(message);
-            this->drain(to);
+            this->processActions(to);
         }
         ++count;
     }
     return count;
 }
 
-void RaftCluster::runCalm(std::size_t ticks)
+void RaftCluster::runWithoutFaults(std::size_t ticks)
 {
     for (std::size_t i = 0; i < ticks; ++i) {
         for (auto &[id, node] : this->nodes) {
             if (node.core != nullptr) {
                 node.core->tick();
-                this->drain(id);
+                this->processActions(id);
                 this->syncAll(id);
             }
         }
         for (int round = 0; round < 4; ++round) {
-            std::vector<RaftMessage> under = std::exchange(this->network, {});
-            for (const RaftMessage &message : under) {
+            std::vector<RaftMessage> inTransit = std::exchange(this->network, {});
+            for (const RaftMessage &message : inTransit) {
                 RaftNode &node = this->nodes[message.to];
-                if (node.core != nullptr && !this->cuts.contains({message.from, message.to})) {
+                if (node.core != nullptr && !this->cutLinks.contains({message.from, message.to})) {
                     node.core->receive(message);
-                    this->drain(message.to);
+                    this->processActions(message.to);
                     this->syncAll(message.to);
                 }
             }
@@ -244,22 +245,22 @@
     }
 }
 
-void RaftCluster::healAndSettle()
+void RaftCluster::healAndConverge()
 {
     this->heal();
     for (auto &[id, node] : this->nodes) {
         this->start(id);
     }
     const std::uint64_t before = this->committed.empty() ? 0 : this->committed.rbegin()->first;
-    for (std::size_t i = 0; i < SettleTicks && this->faults.empty(); i += 20) {
-        this->runCalm(20);
-        const std::string leading = this->leader();
-        if (leading.empty()) {
+    for (std::size_t i = 0; i < MaxConvergenceTicks && this->violations.empty(); i += 20) {
+        this->runWithoutFaults(20);
+        const std::string leaderId = this->leader();
+        if (leaderId.empty()) {
             continue;
         }
-        this->propose(leading);
-        this->runCalm(10);
-        const RaftCore &core = *this->nodes[leading].core;
+        this->propose(leaderId);
+        this->runWithoutFaults(10);
+        const RaftCore &core = *this->nodes[leaderId].core;
         const bool equal = std::all_of(core.membership().begin(), core.membership().end(), [&](const auto &member) {
             return this->nodes[member.first].core->commitIndex() == core.commitIndex();
         });
@@ -268,36 +269,36 @@
             return;
         }
     }
-    this->fault("the members did not agree again after the faults ended");
+    this->reportViolation("the members did not converge after the faults ended");
 }
 
-void RaftCluster::drain(const std::string &id)
+void RaftCluster::processActions(const std::string &id)
 {
     RaftNode &node = this->nodes[id];
     if (node.core != nullptr) {
-        this->carryOut(id, node.core->takeActions());
+        this->executeActions(id, node.core->takeActions());
         this->checkLeader(id);
     }
 }
 
-void RaftCluster::carryOut(const std::string &id, RaftActions actions)
+void RaftCluster::executeActions(const std::string &id, RaftActions actions)
 {
     RaftNode &node = this->nodes[id];
     for (RaftMessage &message : actions.messages) {
         this->network.push_back(std::move(message));
     }
     if (actions.install) {
-        node.machine = split(actions.install->data);
-        node.applied = actions.install->index;
+        node.appliedCommands = split(actions.install->data);
+        node.appliedIndex = actions.install->index;
     }
     for (const RaftEntry &entry : actions.committed) {
         this->applyEntry(id, entry);
     }
     for (const RaftRead &read : actions.reads) {
-        const std::uint64_t least = this->reads[{id, read.id}];
+        const std::uint64_t requiredIndex = this->reads[{id, read.id}];
         this->confirmedReads += read.index != 0 ? 1 : 0;
-        if (read.index != 0 && read.index < least) {
-            this->fault("a confirmed read at " + id + " missed entry " + std::to_string(least));
+        if (read.index != 0 && read.index < requiredIndex) {
+            this->reportViolation("a confirmed read at " + id + " missed entry " + std::to_string(requiredIndex));
         }
     }
     if (actions.batch != 0) {
@@ -308,16 +309,18 @@
 void RaftCluster::applyEntry(const std::string &id, const RaftEntry &entry)
 {
     RaftNode &node = this->nodes[id];
-    if (entry.index != node.applied + 1) {
-        this->fault(id + " applies " + std::to_string(entry.index) + " after " + std::to_string(node.applied));
+    if (entry.index != node.appliedIndex + 1) {
+        this->reportViolation(
+            id + " applies " + std::to_string(entry.index) + " after " + std::to_string(node.appliedIndex));
     }
-    node.applied = entry.index;
-    const auto known = this->committed.emplace(entry.index, entry).first;
-    if (!(known->second == entry)) {
-        this->fault("state machine safety: " + id + " applies another entry at " + std::to_string(entry.index));
+    node.appliedIndex = entry.index;
+    const auto recorded = this->committed.emplace(entry.index, entry).first;
+    if (!(recorded->second == entry)) {
+        this->reportViolation(
+            "state machine safety: " + id + " applies another entry at " + std::to_string(entry.index));
     }
     if (entry.kind == RaftEntryKind::Command) {
-        node.machine.push_back(entry.data);
+        node.appliedCommands.push_back(entry.data);
     }
 }
 
@@ -327,17 +330,17 @@
     if (core.role() != RaftRole::Leader) {
         return;
     }
-    const auto known = this->leaders.emplace(core.hardState().term, id);
-    if (known.first->second != id) {
-        this->fault("election safety: two leaders in term " + std::to_string(core.hardState().term));
+    const auto recorded = this->leaders.emplace(core.hardState().term, id);
+    if (recorded.first->second != id) {
+        this->reportViolation("election safety: two leaders in term " + std::to_string(core.hardState().term));
     }
-    if (!known.second) {
+    if (!recorded.second) {
         return;
     }
     for (const auto &[index, entry] : this->committed) {
         const bool kept = index < core.firstIndex() || (index <= core.lastIndex() && core.entryAt(index) == entry);
         if (!kept) {
-            this->fault("leader completeness: " + id + " leads without entry " + std::to_string(index));
+            this->reportViolation("leader completeness: " + id + " leads without entry " + std::to_string(index));
             return;
         }
     }
@@ -352,20 +355,20 @@
         }
         for (std::uint64_t i = node.core->firstIndex(); i <= node.core->lastIndex(); ++i) {
             const RaftEntry &entry = node.core->entryAt(i);
-            const auto here = std::make_pair(entry, node.core->termAt(i - 1));
-            const auto known = seen.emplace(std::make_pair(i, entry.term), here).first;
-            if (!(known->second.first == entry) || known->second.second != here.second) {
-                this->fault("log matching: entries at " + std::to_string(i) + " of one term differ");
+            const auto entryAndPreviousTerm = std::make_pair(entry, node.core->termAt(i - 1));
+            const auto recorded = seen.emplace(std::make_pair(i, entry.term), entryAndPreviousTerm).first;
+            if (!(recorded->second.first == entry) || recorded->second.second != entryAndPreviousTerm.second) {
+                this->reportViolation("log matching: entries at " + std::to_string(i) + " of one term differ");
             }
         }
         std::vector<std::string> expected;
         for (const auto &[index, entry] : this->committed) {
-            if (index <= node.applied && entry.kind == RaftEntryKind::Command) {
+            if (index <= node.appliedIndex && entry.kind == RaftEntryKind::Command) {
                 expected.push_back(entry.data);
             }
         }
-        if (expected != node.machine) {
-            this->fault("state of " + id + " differs from the committed commands");
+        if (expected != node.appliedCommands) {
+            this->reportViolation("state of " + id + " differs from the committed commands");
         }
     }
 }
@@ -392,8 +395,8 @@
         }
     }
     if (batch != 0 && node.core != nullptr) {
-        node.core->synced(batch);
-        this->drain(id);
+        node.core->batchSynced(batch);
+        this->processActions(id);
     }
 }
 
@@ -404,7 +407,7 @@
         return false;
     }
     ++this->nextCommand;
-    this->drain(id);
+    this->processActions(id);
     return true;
 }
 
@@ -419,11 +422,12 @@
 void RaftCluster::compact(const std::string &id)
 {
     RaftNode &node = this->nodes[id];
-    if (node.applied <= node.core->snapshot().index) {
+    if (node.appliedIndex <= node.core->snapshot().index) {
         return;
     }
-    const std::uint64_t keepFrom = node.applied - std::min<std::uint64_t>(node.applied - 1, this->random() % 3);
-    node.core->compact(node.applied, joined(node.machine), keepFrom);
+    const std::uint64_t keepFrom =
+        node.appliedIndex - std::min<std::uint64_t>(node.appliedIndex - 1, this->random() % 3);
+    node.core->compact(node.appliedIndex, joined(node.appliedCommands), keepFrom);
     node.writes.push_back(RaftNode::Write{{}, node.core->snapshot(), keepFrom});
 }
 
@@ -439,7 +443,7 @@
         return !member.second.voter;
     });
     if (learner != next.end()) {
-        learner->second.voter = core.matchOf(learner->first) >= core.commitIndex();
+        learner->second.voter = core.matchIndexOf(learner->first) >= core.commitIndex();
     } else if (next.size() > 2 && this->random() % 2 == 0) {
         next.erase(std::next(next.begin(), static_cast<std::ptrdiff_t>(this->random() % next.size())));
     } else if (this->nodes.size() < 8) {
@@ -448,7 +452,7 @@
         next[added] = RaftMember{"address-" + added, false};
     }
     this->membershipChanges += core.proposeMembership(next) ? 1 : 0;
-    this->drain(id);
+    this->processActions(id);
 }
 
 std::string RaftCluster::leader() const
--- a/tests/unit/consensus_test.cpp
+++ b/tests/unit/consensus_test.cpp
@@ -1,5 +1,5 @@
-/** @file consensus_test.cpp  The rules of the replicated log under seeded schedules of faults, and the proof that the
- * schedules find a core with a rule taken out. */
+/** @file consensus_test.cpp  Raft safety under seeded schedules of faults, and tests that the schedules detect a core
+ * with one rule disabled. */
 #define BOOST_TEST_MODULE consensus
 #include <boost/test/unit_test.hpp>
 
@@ -17,7 +17,7 @@
 constexpr std::size_t Steps = 4000;
 constexpr std::uint64_t SchedulesPerSize = 1100; ///< Two sizes: 2,200 schedules.
 
-/** Small messages, so that schedules meet partly replicated logs and chunked snapshots. */
+/** Small messages, so that schedules include partly replicated logs and chunked snapshots. */
 RaftSettings smallSettings()
 {
     RaftSettings settings;
@@ -28,17 +28,17 @@
     return settings;
 }
 
-/** Runs schedules until one breaks a property. @return how many ran. */
-std::uint64_t schedulesUntilFault(const RaftSettings &settings, std::size_t members, std::uint64_t limit)
+/** Runs schedules until one violates a safety property. @return how many ran. */
+std::uint64_t schedulesUntilViolation(const RaftSettings &settings, std::size_t members, std::uint64_t limit)
 {
     for (std::uint64_t seed = 1; seed <= limit; ++seed) {
         RaftCluster cluster(seed, members, settings);
         cluster.runRandom(Steps);
-        if (cluster.faults.empty()) {
-            cluster.healAndSettle();
+        if (cluster.violations.empty()) {
+            cluster.healAndConverge();
         }
-        if (!cluster.faults.empty()) {
-            BOOST_TEST_MESSAGE(cluster.faults.front());
+        if (!cluster.violations.empty()) {
+            BOOST_TEST_MESSAGE(cluster.violations.front());
             return seed;
         }
     }
@@ -53,42 +53,42 @@
     for (std::uint64_t seed = 1; seed <= SchedulesPerSize; ++seed) {
         RaftCluster cluster(seed, members, smallSettings());
         cluster.runRandom(Steps);
-        cluster.healAndSettle();
-        BOOST_REQUIRE_MESSAGE(cluster.faults.empty(), cluster.faults.front());
+        cluster.healAndConverge();
+        BOOST_REQUIRE_MESSAGE(cluster.violations.empty(), cluster.violations.front());
         commits += cluster.committed.size();
         reads += cluster.confirmedReads;
         changes += cluster.membershipChanges;
     }
     BOOST_TEST_MESSAGE(SchedulesPerSize << " schedules, " << commits << " commits, " << reads << " reads, " << changes
                                         << " membership changes");
-    BOOST_TEST(commits > SchedulesPerSize * 10); // The schedules do something.
+    BOOST_TEST(commits > SchedulesPerSize * 10); // The schedules make progress.
     BOOST_TEST(reads > SchedulesPerSize);
     BOOST_TEST(changes > SchedulesPerSize / 2);
 }
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(three_members_keep_all_properties_under_faults)
+BOOST_AUTO_TEST_CASE(three_members_stay_safe_under_faults)
 {
     runSchedules(3);
 }
 
-BOOST_AUTO_TEST_CASE(five_members_keep_all_properties_under_faults)
+BOOST_AUTO_TEST_CASE(five_members_stay_safe_under_faults)
 {
     runSchedules(5);
 }
 
-BOOST_AUTO_TEST_CASE(the_schedules_find_a_core_that_does_not_wait_for_the_sync)
+BOOST_AUTO_TEST_CASE(simulation_detects_acknowledgement_before_sync)
 {
     RaftSettings settings = smallSettings();
     settings.waitForSync = false;
-    BOOST_TEST(schedulesUntilFault(settings, 3, 200) <= 200);
+    BOOST_TEST(schedulesUntilViolation(settings, 3, 200) <= 200);
 }
 
 namespace
 {
 
-/** Has @p id elected by @p voters alone. Restarts them all first, so that none remembers a leader. */
+/** Gets @p id elected with the votes of @p voters only. Restarts all of them first, so that none knows a leader. */
 bool elect(RaftCluster &cluster, const std::string &id, const std::vector<std::string> &voters)
 {
     cluster.network.clear();
@@ -100,7 +100,7 @@
     }
     for (int i = 0; i < 200; ++i) {
         cluster.nodes[id].core->tick();
-        cluster.drain(id);
+        cluster.processActions(id);
         for (const std::string &voter : voters) {
             cluster.syncAll(id);
             cluster.deliver(id, voter);
@@ -115,7 +115,7 @@
     return false;
 }
 
-/** Passes messages from @p from to @p to and the replies back, one each way, @p rounds times. */
+/** Delivers one message from @p from to @p to and the replies back, @p rounds times. */
 void exchange(RaftCluster &cluster, const std::string &from, const std::string &to, int rounds)
 {
     for (int i = 0; i < rounds; ++i) {
@@ -125,15 +125,15 @@
     }
 }
 
-/** An entry of an earlier term reaches a majority, and a member without it can still be elected. @return whether a
- * property broke. */
+/** An entry of an earlier term reaches a majority, then a member without it is elected. Committing that entry by
+ * counting replicas would lose it. @return whether a safety property was violated. */
 bool earlierTermSchedule(bool commitTermCheck)
 {
     RaftSettings settings = smallSettings();
     settings.maxAppendEntries = 1;
     settings.commitTermCheck = commitTermCheck;
     RaftCluster cluster(1, 5, settings);
-    cluster.runCalm(100);
+    cluster.runWithoutFaults(100);
     const std::string first = cluster.leader();
     std::vector<std::string> other;
     for (const auto &[id, node] : cluster.nodes) {
@@ -142,24 +142,24 @@
         }
     }
     cluster.network.clear();
-    BOOST_REQUIRE(cluster.propose(first)); // Held by the first and other[0] only.
+    BOOST_REQUIRE(cluster.propose(first)); // Replicated to `first` and other[0] only.
     cluster.syncAll(first);
     cluster.deliver(first, other[0]);
     cluster.syncAll(other[0]);
     cluster.crash(first);
-    BOOST_REQUIRE(elect(cluster, other[3], {other[1], other[2]})); // Its own entry stays with it.
+    BOOST_REQUIRE(elect(cluster, other[3], {other[1], other[2]})); // Its no-op entry isn't replicated.
     cluster.crash(other[3]);
     BOOST_REQUIRE(elect(cluster, first, {other[0], other[1]}));
     exchange(cluster, first, other[0], 1);
-    exchange(cluster, first, other[1], 2); // A refusal, then the old entry alone: now a majority holds it.
+    exchange(cluster, first, other[1], 2); // A rejection, then the old entry alone: a majority has it now.
     cluster.crash(first);
     BOOST_REQUIRE(elect(cluster, other[3], {other[1], other[2]}));
-    return !cluster.faults.empty();
+    return !cluster.violations.empty();
 }
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(an_entry_of_an_earlier_term_is_lost_only_without_the_term_check_on_commit)
+BOOST_AUTO_TEST_CASE(entry_of_earlier_term_is_lost_only_without_commit_term_check)
 {
     BOOST_TEST(!earlierTermSchedule(true));
     BOOST_TEST(earlierTermSchedule(false));
@@ -168,25 +168,25 @@
 namespace
 {
 
-/** Whether a member that was silently isolated for long deposes the leader when it comes back. */
+/** Whether a member that was partitioned for a long time deposes the leader when it reconnects. */
 bool returningMemberDeposes(const RaftSettings &settings)
 {
     RaftCluster cluster(1, 3, settings);
-    cluster.runCalm(100);
+    cluster.runWithoutFaults(100);
     const std::string leader = cluster.leader();
     BOOST_REQUIRE(!leader.empty());
     const std::uint64_t term = cluster.nodes[leader].core->hardState().term;
     cluster.isolate(leader == "m1" ? "m2" : "m1");
-    cluster.runCalm(300);
+    cluster.runWithoutFaults(300);
     cluster.heal();
-    cluster.runCalm(100);
-    BOOST_TEST(cluster.faults.empty());
+    cluster.runWithoutFaults(100);
+    BOOST_TEST(cluster.violations.empty());
     return cluster.leader() != leader || cluster.nodes[leader].core->hardState().term != term;
 }
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(a_returning_member_deposes_the_leader_only_without_the_pre_vote)
+BOOST_AUTO_TEST_CASE(returning_member_deposes_leader_only_without_pre_vote)
 {
     RaftSettings settings = smallSettings();
     BOOST_TEST(!returningMemberDeposes(settings));
--- a/tests/unit/log_storage_test.cpp
+++ b/tests/unit/log_storage_test.cpp
@@ -1,4 +1,4 @@
-/** @file log_storage_test.cpp  What a member finds on its disk after each kind of damage. */
+/** @file log_storage_test.cpp  Recovery of a member's log after crashes, damage and a full disk. */
 #define BOOST_TEST_MODULE log_storage
 #include <boost/test/unit_test.hpp>
 
@@ -37,49 +37,49 @@
     }
 }
 
-Result<RaftRestored> reopened(const std::string &folder)
+Result<RaftPersistentState> reopened(const std::string &folder)
 {
     RaftStorage storage;
     return storage.open(folder);
 }
 
-void replace(const std::string &path, const std::string &bytes)
+void overwriteFile(const std::string &path, const std::string &bytes)
 {
     std::ofstream(path, std::ios::binary | std::ios::trunc) << bytes;
 }
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(a_tail_torn_at_any_offset_is_cut_and_what_was_synced_before_stays)
+BOOST_AUTO_TEST_CASE(torn_tail_is_truncated_and_synced_entries_survive)
 {
     const TemporaryFolder folder;
     const std::string log = folder.path + "/log";
     write(folder.path, {{batchOf(1, 3, 1)}});
     const std::size_t synced = readFile(log).size();
-    write(folder.path, {{batchOf(4, 5, 2)}}); // The write that the crash hits.
+    write(folder.path, {{batchOf(4, 5, 2)}}); // The write that is interrupted by the crash.
     const std::string whole = readFile(log);
     for (std::size_t size = synced; size < whole.size(); ++size) {
-        replace(log, whole.substr(0, size));
+        overwriteFile(log, whole.substr(0, size));
         const auto restored = reopened(folder.path);
         BOOST_REQUIRE(restored.has_value());
         BOOST_TEST(restored->entries.size() >= 3U);
         BOOST_TEST(restored->entries.size() < 5U);
         BOOST_TEST(readFile(log).size() <= size);
-        // The member goes on writing where it was cut.
+        // Writing continues where the log was truncated.
         write(folder.path, {{batchOf(restored->entries.size() + 1, 6, 3)}});
         BOOST_TEST(reopened(folder.path)->entries.size() == 6U);
     }
 }
 
-BOOST_AUTO_TEST_CASE(zeros_after_the_last_record_are_a_torn_tail)
+BOOST_AUTO_TEST_CASE(zeros_after_last_record_are_a_torn_tail)
 {
     const TemporaryFolder folder;
     write(folder.path, {{batchOf(1, 3, 1)}});
-    replace(folder.path + "/log", readFile(folder.path + "/log") + std::string(4096, '\0'));
+    overwriteFile(folder.path + "/log", readFile(folder.path + "/log") + std::string(4096, '\0'));
     BOOST_TEST(reopened(folder.path)->entries.size() == 3U);
 }
 
-BOOST_AUTO_TEST_CASE(a_flipped_bit_before_the_last_batch_stops_with_a_remedy_and_changes_nothing)
+BOOST_AUTO_TEST_CASE(bit_flip_before_last_batch_is_reported_and_log_is_left_unchanged)
 {
     const TemporaryFolder folder;
     const std::string log = folder.path + "/log";
@@ -90,20 +90,20 @@
     for (std::size_t at = 0; at < whole.size(); ++at) {
         std::string damaged = whole;
         damaged[at] = static_cast<char>(damaged[at] ^ 0x10);
-        replace(log, damaged);
+        overwriteFile(log, damaged);
         const auto restored = reopened(folder.path);
-        if (at < first) { // A later batch was begun, so this was synced: no reading of it may go on.
+        if (at < first) { // A later batch was started, so this one had been synced: opening must fail.
             BOOST_REQUIRE(!restored.has_value());
             BOOST_TEST((restored.error().kind == ErrorKind::StorageCorrupt));
             BOOST_TEST(readFile(log) == damaged);
-        } else { // The last batch looks as if it was never synced.
+        } else { // Damage of the last batch can't be told from a write that was never synced.
             BOOST_REQUIRE(restored.has_value());
             BOOST_TEST(restored->entries.size() >= 3U);
         }
     }
 }
 
-BOOST_AUTO_TEST_CASE(a_flipped_bit_in_a_compacted_log_or_a_snapshot_stops_too)
+BOOST_AUTO_TEST_CASE(bit_flip_in_compacted_log_or_snapshot_is_reported)
 {
     const TemporaryFolder folder;
     {
@@ -124,16 +124,16 @@
         for (std::size_t at = 0; at < whole.size(); ++at) {
             std::string damaged = whole;
             damaged[at] = static_cast<char>(damaged[at] ^ 1);
-            replace(folder.path + name, damaged);
+            overwriteFile(folder.path + name, damaged);
             const auto found = reopened(folder.path);
             BOOST_REQUIRE_MESSAGE(!found.has_value(), name << " byte " << at);
             BOOST_TEST((found.error().kind == ErrorKind::StorageCorrupt));
         }
-        replace(folder.path + name, whole);
+        overwriteFile(folder.path + name, whole);
     }
 }
 
-BOOST_AUTO_TEST_CASE(an_entry_replaces_all_from_its_index_on)
+BOOST_AUTO_TEST_CASE(entry_replaces_all_entries_from_its_index)
 {
     const TemporaryFolder folder;
     write(folder.path, {{batchOf(1, 5, 1), batchOf(3, 3, 2)}});
@@ -144,7 +144,7 @@
     BOOST_TEST(restored->hardState.term == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(a_received_snapshot_counts_though_the_log_was_not_shortened_any_more)
+BOOST_AUTO_TEST_CASE(received_snapshot_survives_crash_before_log_is_replaced)
 {
     const TemporaryFolder folder;
     write(folder.path, {{batchOf(1, 3, 1)}});
@@ -153,7 +153,7 @@
     install.install = RaftSnapshot{9, 2, {{"a.1", {"address", true}}}, "state"};
     install.hardState = RaftHardState{2, ""};
     write(folder.path, {{install}});
-    replace(folder.path + "/log", old); // Killed between the two files.
+    overwriteFile(folder.path + "/log", old); // As if killed between writing the snapshot and the log.
     const auto restored = reopened(folder.path);
     BOOST_REQUIRE(restored.has_value());
     BOOST_TEST(restored->baseIndex == 9U);
@@ -161,7 +161,7 @@
     BOOST_TEST(restored->snapshot.data == "state");
 }
 
-BOOST_AUTO_TEST_CASE(a_full_disk_fails_the_write_and_all_after_it_and_loses_nothing_synced)
+BOOST_AUTO_TEST_CASE(full_disk_fails_all_further_writes_and_loses_nothing_synced)
 {
     const TemporaryFolder folder;
     RaftStorage storage;
@@ -170,20 +170,20 @@
     std::signal(SIGXFSZ, SIG_IGN);
     rlimit before{};
     getrlimit(RLIMIT_FSIZE, &before);
-    rlimit full = before;
-    full.rlim_cur = readFile(folder.path + "/log").size() + 30; // Part of the next record fits.
-    setrlimit(RLIMIT_FSIZE, &full);
+    rlimit fullDisk = before;
+    fullDisk.rlim_cur = readFile(folder.path + "/log").size() + 30; // Part of the next record fits.
+    setrlimit(RLIMIT_FSIZE, &fullDisk);
     const Result<void> failed = storage.write({batchOf(4, 6, 1)});
     setrlimit(RLIMIT_FSIZE, &before);
     BOOST_REQUIRE(!failed.has_value());
     BOOST_TEST((failed.error().kind == ErrorKind::StorageFailed));
-    BOOST_TEST(!storage.write({batchOf(4, 4, 1)}).has_value()); // The end of the file is unknown now.
+    BOOST_TEST(!storage.write({batchOf(4, 4, 1)}).has_value()); // The end of the file is unknown by now.
     const auto restored = reopened(folder.path);
     BOOST_REQUIRE(restored.has_value());
     BOOST_TEST(restored->entries.size() == 3U);
 }
 
-BOOST_AUTO_TEST_CASE(a_wiped_folder_gets_another_identity_and_a_kept_one_its_own)
+BOOST_AUTO_TEST_CASE(wiped_folder_gets_new_identity_and_intact_one_keeps_its_own)
 {
     const TemporaryFolder folder;
     const auto identity = [&]() {
@@ -197,7 +197,7 @@
     BOOST_TEST(identity() != first);
 }
 
-BOOST_AUTO_TEST_CASE(a_thousand_changes_are_all_there_after_a_restart)
+BOOST_AUTO_TEST_CASE(thousand_entries_survive_restart)
 {
     const TemporaryFolder folder;
     std::vector<std::vector<RaftActions>> writes;
