--- a/src/control/control_service_base.h
+++ b/src/control/control_service_base.h
@@ -5,7 +5,7 @@
 #include <string>
 
 #include "consensus/replica_group_base.h"
-#include "control/lease_keeper_base.h"
+#include "control/entry_lease_tracker_base.h"
 #include "core/timer_base.h"
 #include "fleet/fleet_base.h"
 #include "program/journal_base.h"
@@ -34,7 +34,7 @@
     ReplicaNode node; ///< Replicated log of both state machines.
     ReplicaGroup<FleetState> fleet; ///< Declarations, keys, leases, slots.
     ReplicaGroup<JournalState> journal; ///< Programs.
-    LeaseKeeper leases; ///< Valid only while this member leads.
+    EntryLeaseTracker leases; ///< Valid only while this member leads.
     const std::string memberId; ///< Name of this member, shown to operators.
     const bool testHooks; ///< Whether setTestFault is served.
     bool dropEntries = false; ///< Test hook: requests of entries and tools are not answered.
--- a/src/control/lease_keeper_base.cpp
+++ b/src/control/entry_lease_tracker_base.cpp
@@ -1,10 +1,10 @@
-/** @file lease_keeper_base.cpp  Expiry of the leases of entries at the leader. */
-#include "control/lease_keeper_base.h"
+/** @file entry_lease_tracker_base.cpp  Expiry of the leases of entries at the leader. */
+#include "control/entry_lease_tracker_base.h"
 
 namespace Chestnuthook
 {
 
-void LeaseKeeper::beginTerm(const FleetState &state, Instant now)
+void EntryLeaseTracker::beginTerm(const FleetState &state, Instant now)
 {
     this->contacts.clear();
     for (const auto &[id, row] : state.entries.all()) {
@@ -14,12 +14,12 @@
     }
 }
 
-void LeaseKeeper::recordContact(const EntryId &entry, EntryContact contact)
+void EntryLeaseTracker::recordContact(const EntryId &entry, EntryContact contact)
 {
     this->contacts[entry] = contact;
 }
 
-std::vector<EntryRecord> LeaseKeeper::markExpired(const FleetState &state, Instant now)
+std::vector<EntryRecord> EntryLeaseTracker::markExpired(const FleetState &state, Instant now)
 {
     std::vector<EntryRecord> found;
     for (const auto &[id, row] : state.entries.all()) {
@@ -40,13 +40,13 @@
     return found;
 }
 
-bool LeaseKeeper::isEnding(const EntryId &entry, Epoch epoch) const
+bool EntryLeaseTracker::isEnding(const EntryId &entry, Epoch epoch) const
 {
     const EntryContact *contact = this->find(entry);
     return contact != nullptr && epoch.value != 0 && contact->endingEpoch == epoch;
 }
 
-const EntryContact *LeaseKeeper::find(const EntryId &entry) const
+const EntryContact *EntryLeaseTracker::find(const EntryId &entry) const
 {
     const auto found = this->contacts.find(entry);
     return found == this->contacts.end() ? nullptr : &found->second;
--- a/src/control/lease_keeper_base.h
+++ b/src/control/entry_lease_tracker_base.h
@@ -1,4 +1,4 @@
-/** @file lease_keeper_base.h  Tracks at the leader when each entry last made contact. Lease renewals are not
+/** @file entry_lease_tracker_base.h  Tracks at the leader when each entry last made contact. Lease renewals are not
  * replicated, only grants and ends are. A new leader therefore extends every lease by a full LeaseDuration. */
 #pragma once
 
@@ -28,7 +28,7 @@
     Epoch endingEpoch; ///< Epoch of the lease whose end is being proposed; 0 for none.
 };
 
-class LeaseKeeper
+class EntryLeaseTracker
 {
 public:
     /** Extends all leases by a full LeaseDuration from @p now; called when this member becomes the leader. */
--- a/tests/unit/admission_simulation_test.cpp
+++ b/tests/unit/admission_simulation_test.cpp
@@ -10,7 +10,7 @@
 #include <capnp/message.h>
 
 #include "admission/bucket_owner_base.h"
-#include "control/lease_keeper_base.h"
+#include "control/entry_lease_tracker_base.h"
 #include "policy/random_func.h"
 #include "rpc/message_func.h"
 
@@ -361,7 +361,7 @@
     Instant now; ///< Virtual time.
     TenantDeclaration tenant; ///< The one that is watched.
     FleetState fleet; ///< As committed.
-    LeaseKeeper leases; ///< Of the leader.
+    EntryLeaseTracker leases; ///< Of the leader.
     std::vector<EntryPointer> entries; ///< Those not killed.
     std::multimap<Instant, std::function<void()>> events; ///< What happens next.
     std::map<EntryId, TokenBucket> ownBuckets; ///< For Rules::BucketPerEntry.
--- a/tests/unit/admission_tenure_test.cpp
+++ b/tests/unit/admission_tenure_test.cpp
@@ -5,7 +5,7 @@
 #include <capnp/message.h>
 
 #include "admission/bucket_owner_base.h"
-#include "control/lease_keeper_base.h"
+#include "control/entry_lease_tracker_base.h"
 #include "fleet/fleet_base.h"
 #include "rpc/message_func.h"
 
@@ -137,7 +137,7 @@
         command.setAddress("a");
         fleet.apply(index, flatBytes(message));
     };
-    LeaseKeeper leases;
+    EntryLeaseTracker leases;
     grant(1);
     leases.recordContact(Other, EntryContact{Instant(0), 0, 0, Epoch{}});
     BOOST_TEST(leases.markExpired(fleet, Instant(3'300'000)).empty());
--- a/tests/unit/lease_keeper_test.cpp
+++ b/tests/unit/entry_lease_tracker_test.cpp
@@ -1,10 +1,10 @@
-/** @file lease_keeper_test.cpp  Tests when the leader may end the lease of an entry. */
-#define BOOST_TEST_MODULE lease_keeper
+/** @file entry_lease_tracker_test.cpp  Tests when the leader may end the lease of an entry. */
+#define BOOST_TEST_MODULE entry_lease_tracker
 #include <boost/test/unit_test.hpp>
 
 #include <capnp/message.h>
 
-#include "control/lease_keeper_base.h"
+#include "control/entry_lease_tracker_base.h"
 #include "rpc/message_func.h"
 
 using namespace Chestnuthook;
@@ -37,7 +37,7 @@
 BOOST_AUTO_TEST_CASE(lease_expires_after_its_duration_and_margin)
 {
     const FleetState state = stateWithLease("a");
-    LeaseKeeper leases;
+    EntryLeaseTracker leases;
     leases.recordContact(EntryId{"a"}, contactAt(Instant(0)));
     BOOST_TEST(leases.markExpired(state, Instant(0) + LeaseDuration + LeaseExpiryMargin).empty());
     BOOST_TEST(leases.markExpired(state, Instant(0) + LeaseDuration + LeaseExpiryMargin + OneMillisecond).size() == 1U);
@@ -46,7 +46,7 @@
 BOOST_AUTO_TEST_CASE(new_leader_extends_leases_also_if_it_led_before)
 {
     const FleetState state = stateWithLease("a");
-    LeaseKeeper leases;
+    EntryLeaseTracker leases;
     leases.recordContact(EntryId{"a"}, contactAt(Instant(0))); // In an earlier term.
     const Instant elected = Instant(0) + 10 * LeaseDuration;
     leases.beginTerm(state, elected);
