--- a/src/consensus/raft_core_base.h
+++ b/src/consensus/raft_core_base.h
@@ -117,10 +117,13 @@
     void setHardState(std::uint64_t term, const std::string &vote);
     void resetElectionTimer();
     void send(RaftMessage message);
+    /** Sends @p message once all changes so far are durable. */
     void sendAfterSync(RaftMessage message);
     RaftMessage makeMessage(RaftMessageKind kind, const std::string &to) const;
+    /** Appends a new entry of the current term at the leader. */
     void appendNewEntry(RaftEntryKind kind, std::string data);
     void appendEntry(const RaftEntry &entry);
+    /** Assigns a batch number to the pending actions unless they have one. */
     void beginBatch();
     [[nodiscard]] bool isVoter(const std::string &member) const;
     [[nodiscard]] bool hasQuorum(const std::set<std::string> &members) const;
@@ -154,7 +157,9 @@
     // raft_read.cpp
     void startReadRound();
     void confirmReads();
+    /** Adds and removes rows of `progress` at the leader to match the membership. */
     void updateProgress();
+    /** The highest value that a quorum has reached, given the values of all voters. */
     [[nodiscard]] std::uint64_t quorumValue(std::vector<std::uint64_t> values) const;
 
     const RaftSettings settings; ///< Protocol parameters.
--- a/src/consensus/replica_node_base.h
+++ b/src/consensus/replica_node_base.h
@@ -136,13 +136,16 @@
     };
 
     kj::Promise<Result<std::string>> awaitCommit(std::uint64_t index);
+    /** Runs `flush` later in the event loop, once for all inputs until then. */
     void scheduleFlush();
+    /** Executes the core's actions, handles a role change, sends messages and takes a snapshot if one is due. */
     void flush();
     void executeActions(RaftActions actions);
     void apply(const RaftEntry &entry);
     std::string applyCommand(const RaftEntry &entry);
     void answerReads(const std::vector<RaftRead> &confirmed);
     void handleRoleChange();
+    /** Fails the proposals of earlier terms, or all of them if this member no longer leads. */
     void failPending();
     void takeSnapshot();
     std::string snapshotBytes() const;
@@ -151,7 +154,9 @@
     void tryBootstrap();
     kj::Promise<Result<void>> proposeMembership(RaftMembership next);
     kj::Promise<Result<void>> promoteToVoter(std::string identity, unsigned pollsLeft);
+    /** Polls until the member @p identity has the log up to @p index. */
     kj::Promise<Result<void>> waitUntilReplicated(std::string identity, std::uint64_t index, unsigned pollsLeft);
+    /** Identity of the member whose name or identity is @p name. */
     [[nodiscard]] std::optional<std::string> identityOf(const std::string &name) const;
     [[nodiscard]] tl::unexpected<Error> notLeader() const;
 
--- a/src/rpc/rpc_link_base.h
+++ b/src/rpc/rpc_link_base.h
@@ -53,7 +53,9 @@
         kj::Own<kj::AsyncIoStream> stream; ///< Stream for messages, after the TLS handshake.
     };
 
+    /** Performs the TLS handshake on @p stream; returns it as it is if the fleet's traffic is not encrypted. */
     kj::Promise<SecuredStream> startTls(kj::Own<kj::AsyncIoStream> stream);
+    /** Opens a TCP connection; retries with a new socket each time TcpConnectTimeout has passed. */
     kj::Promise<kj::Own<kj::AsyncIoStream>> connectTcp(kj::NetworkAddress &target);
     kj::Promise<void> connect();
 
--- a/tests/support/raft_cluster.h
+++ b/tests/support/raft_cluster.h
@@ -80,7 +80,7 @@
 
 private:
     void randomEvent();
-    void randomFault(std::uint64_t dice);
+    void randomFault(std::uint64_t roll);
     void deliverRandom();
     void syncSome(const std::string &id, std::size_t count);
     void executeActions(const std::string &id, RaftActions actions);
