--- a/src/control/main.cpp
+++ b/src/control/main.cpp
@@ -63,11 +63,11 @@
     {"members", "identity", memberListCheck(), "list the first members as NAME=ip:port, the same list at each of them"},
     {"join", "identity", {}, "set it at a member that is added to a running group"},
     {"snapshot_entries", "storage", rangeCheck(10, 10000000), "give a number such as 10000"},
-    {"test_hooks", "testing", {}, "leave it out but in tests"},
+    {"test_hooks", "testing", {}, "set it in tests only"},
     {"data_centre", "identity", nonEmptyCheck(), "name the data centre of this instance"},
     {"secret_file", "security", {}, "name a readable file, or set CHESTNUTHOOK_SECRET"},
     {"log_file", "logging", {}, "name a file that this user may write"},
-    {"log_level", "logging", oneOfCheck({"debug", "info", "warning", "error"}), "say debug, info, warning or error"},
+    {"log_level", "logging", oneOfCheck({"debug", "info", "warning", "error"}), "use debug, info, warning or error"},
 };
 
 int reportFault(const Error &error)
