--- a/src/entry/admission_client_base.cpp
+++ b/src/entry/admission_client_base.cpp
@@ -13,12 +13,12 @@
 namespace
 {
 
-constexpr auto AskTimeout = 500 * kj::MILLISECONDS;
+constexpr auto PeerRequestTimeout = 500 * kj::MILLISECONDS;
 
 /** How often a former owner is asked for its buckets. */
-constexpr Duration HandoverPeriod = std::chrono::milliseconds(100);
+constexpr Duration HandoverRetryInterval = std::chrono::milliseconds(100);
 
-AdmitVerdict unreachable()
+AdmitVerdict ownerUnavailable()
 {
     AdmitVerdict verdict;
     verdict.state = AdmitState::NotOwner;
@@ -43,7 +43,7 @@
     return facts;
 }
 
-std::string AdmissionClient::addressOf(const EntryId &entry) const
+std::string AdmissionClient::rpcAddressOf(const EntryId &entry) const
 {
     const auto view = this->follower.views.get();
     for (const EntryRecord &record : view == nullptr ? std::vector<EntryRecord>() : view->entries) {
@@ -64,30 +64,30 @@
     this->requestHandovers();
 }
 
-AdmitVerdict AdmissionClient::decide(const TenantId &tenant, std::uint32_t count)
+AdmitVerdict AdmissionClient::admitAsOwner(const TenantId &tenant, std::uint32_t count)
 {
     const auto view = this->follower.views.get();
     if (view == nullptr) {
-        return unreachable();
+        return ownerUnavailable();
     }
     const auto declared = view->tenants.find(tenant);
     if (declared == view->tenants.end()) {
-        return unreachable();
+        return ownerUnavailable();
     }
     const Instant now = this->loop.timers().now();
-    return this->owner.admit(declared->second, count, now, this->follower.views.relyUntil());
+    return this->owner.admit(declared->second, count, now, this->follower.views.freshUntil());
 }
 
-kj::Promise<AdmitVerdict> AdmissionClient::ask(const TenantId &tenant)
+kj::Promise<AdmitVerdict> AdmissionClient::requestAdmission(const TenantId &tenant)
 {
     const auto view = this->follower.views.get();
     const EntryId slotOwner = view == nullptr ? EntryId{} : view->slots[slotOf(tenant.text).value].owner;
     if (slotOwner == this->follower.self.id) {
-        return this->decide(tenant, 1);
+        return this->admitAsOwner(tenant, 1);
     }
-    const std::string address = this->addressOf(slotOwner);
+    const std::string address = this->rpcAddressOf(slotOwner);
     if (address.empty()) {
-        return unreachable();
+        return ownerUnavailable();
     }
     auto paf = kj::newPromiseAndFulfiller<AdmitVerdict>();
     Batch &batch = this->batches[address];
@@ -111,17 +111,18 @@
     }
     auto waiters = std::make_shared<std::vector<Waiter>>(std::move(batch.waiting));
     batch.waiting.clear();
-    auto rows = std::make_shared<std::vector<unsigned>>();
-    auto asked = this->peers.peer(address).then([waiters, rows](Wire::EntryPeer::Client &&peer) {
-        std::map<TenantId, unsigned> rowOf;
+    auto requestIndexes = std::make_shared<std::vector<unsigned>>();
+    auto responsePromise = this->peers.peer(address).then([waiters, requestIndexes](Wire::EntryPeer::Client &&peer) {
+        std::map<TenantId, unsigned> requestIndexOf;
         std::vector<std::pair<TenantId, std::uint32_t>> wanted;
         for (const Waiter &waiter : *waiters) {
-            const auto [row, added] = rowOf.try_emplace(waiter.tenant, static_cast<unsigned>(wanted.size()));
+            const auto [requestIndex, added] =
+                requestIndexOf.try_emplace(waiter.tenant, static_cast<unsigned>(wanted.size()));
             if (added) {
                 wanted.emplace_back(waiter.tenant, 0);
             }
-            ++wanted[row->second].second;
-            rows->push_back(row->second);
+            ++wanted[requestIndex->second].second;
+            requestIndexes->push_back(requestIndex->second);
         }
         auto request = peer.admitRequest();
         auto list = request.initRequests(static_cast<unsigned>(wanted.size()));
@@ -132,15 +133,15 @@
         return request.send();
     });
     this->loop.detach(this->loop.kjTimer()
-                          .timeoutAfter(AskTimeout, kj::mv(asked))
+                          .timeoutAfter(PeerRequestTimeout, kj::mv(responsePromise))
                           .then(
-                              [this, waiters, rows](auto &&response) {
-                                  this->takeReplies(response.getReplies(), *waiters, *rows);
+                              [this, waiters, requestIndexes](auto &&response) {
+                                  this->handleReplies(response.getReplies(), *waiters, *requestIndexes);
                               },
                               [this, address, waiters](kj::Exception && /*exception*/) {
                                   this->peers.reset(address);
                                   for (Waiter &waiter : *waiters) {
-                                      waiter.fulfiller->fulfill(unreachable());
+                                      waiter.fulfiller->fulfill(ownerUnavailable());
                                   }
                               })
                           .then([this, address]() {
@@ -148,21 +149,21 @@
                           }));
 }
 
-void AdmissionClient::takeReplies(
-    capnp::List<Wire::AdmitReply>::Reader replies, std::vector<Waiter> &waiters, const std::vector<unsigned> &rows)
+void AdmissionClient::handleReplies(capnp::List<Wire::AdmitReply>::Reader replies, std::vector<Waiter> &waiters,
+    const std::vector<unsigned> &requestIndexes)
 {
     std::vector<unsigned> used(replies.size(), 0);
     for (std::size_t i = 0; i < waiters.size(); ++i) {
-        AdmitVerdict verdict = unreachable();
-        if (rows[i] < replies.size()) {
-            const auto reply = replies[rows[i]];
-            const unsigned place = used[rows[i]]++;
+        AdmitVerdict verdict = ownerUnavailable();
+        if (requestIndexes[i] < replies.size()) {
+            const auto reply = replies[requestIndexes[i]];
+            const unsigned position = used[requestIndexes[i]]++;
             const bool undecided = reply.hasFailure();
             verdict.state = undecided ? AdmitState::NotYet : AdmitState::Decided;
             verdict.retryAfter = std::chrono::milliseconds(reply.getHoldMs());
             verdict.recovering = reply.getRecovering();
-            if (!undecided && place < reply.getDelaysUs().size()) {
-                verdict.delays.emplace_back(reply.getDelaysUs()[place]);
+            if (!undecided && position < reply.getDelaysUs().size()) {
+                verdict.delays.emplace_back(reply.getDelaysUs()[position]);
             }
         }
         waiters[i].fulfiller->fulfill(std::move(verdict));
@@ -174,16 +175,16 @@
     const auto view = this->follower.views.get();
     std::map<std::string, std::vector<WantedHandover>> byAddress;
     for (const WantedHandover &handover : this->owner.tenures.wanted(this->facts(*view), this->loop.timers().now())) {
-        byAddress[this->addressOf(handover.former)].push_back(handover);
+        byAddress[this->rpcAddressOf(handover.former)].push_back(handover);
     }
     if (byAddress.empty()) {
-        this->handovers.cancel();
+        this->handoverTimer.cancel();
         return;
     }
     for (auto &[address, wanted] : byAddress) {
         this->loop.detach(this->requestHandover(address, std::move(wanted)));
     }
-    this->handovers = this->loop.timers().after(HandoverPeriod, [this]() {
+    this->handoverTimer = this->loop.timers().after(HandoverRetryInterval, [this]() {
         this->requestHandovers();
     });
 }
@@ -200,7 +201,7 @@
         return request.send();
     });
     return this->loop.kjTimer()
-        .timeoutAfter(AskTimeout, kj::mv(sent))
+        .timeoutAfter(PeerRequestTimeout, kj::mv(sent))
         .then(
             [this, wanted](auto &&response) {
                 const auto slots = response.getSlots();
@@ -220,7 +221,7 @@
             });
 }
 
-void AdmissionClient::giveUp(
+void AdmissionClient::releaseSlots(
     capnp::List<Wire::GivenUpSlot>::Reader slots, capnp::List<Wire::GivenUpSlot>::Builder replies)
 {
     const auto view = this->follower.views.get();
--- a/src/entry/admission_client_base.h
+++ b/src/entry/admission_client_base.h
@@ -22,13 +22,13 @@
 
     /** Asks the owner of @p tenant's slot for one request. NotOwner means that there is none, or that it can't be
      * reached. */
-    [[nodiscard]] kj::Promise<AdmitVerdict> ask(const TenantId &tenant);
+    [[nodiscard]] kj::Promise<AdmitVerdict> requestAdmission(const TenantId &tenant);
 
     /** Decides as the owner of @p tenant's slot. */
-    [[nodiscard]] AdmitVerdict decide(const TenantId &tenant, std::uint32_t count);
+    [[nodiscard]] AdmitVerdict admitAsOwner(const TenantId &tenant, std::uint32_t count);
 
     /** Stops for slots that another entry has gained, and tells what their buckets hold. */
-    void giveUp(capnp::List<Wire::GivenUpSlot>::Reader slots, capnp::List<Wire::GivenUpSlot>::Builder replies);
+    void releaseSlots(capnp::List<Wire::GivenUpSlot>::Reader slots, capnp::List<Wire::GivenUpSlot>::Builder replies);
 
     /** The follower's copy has changed. */
     void onViewChange();
@@ -47,18 +47,18 @@
 
     [[nodiscard]] SlotFacts facts(const FleetView &view) const;
     void send(const std::string &address);
-    void takeReplies(
-        capnp::List<Wire::AdmitReply>::Reader replies, std::vector<Waiter> &waiters, const std::vector<unsigned> &rows);
+    void handleReplies(capnp::List<Wire::AdmitReply>::Reader replies, std::vector<Waiter> &waiters,
+        const std::vector<unsigned> &requestIndexes);
     void requestHandovers();
     kj::Promise<void> requestHandover(const std::string &address, std::vector<WantedHandover> wanted);
-    [[nodiscard]] std::string addressOf(const EntryId &entry) const;
+    [[nodiscard]] std::string rpcAddressOf(const EntryId &entry) const;
 
     ControlLoop &loop; ///< Outlives this.
     FleetFollower &follower; ///< Outlives this.
     PeerLinks &peers; ///< Outlives this.
     BucketOwner owner; ///< Buckets of the owned slots.
     std::map<std::string, Batch> batches; ///< By the owner's address.
-    TimerSubscription handovers; ///< Runs while a handover is wanted.
+    TimerSubscription handoverTimer; ///< Runs while a handover is wanted.
 };
 
 } // namespace Chestnuthook
--- a/src/entry/admission_gate_base.cpp
+++ b/src/entry/admission_gate_base.cpp
@@ -14,15 +14,15 @@
 
 /** How long a request may wait for a bucket that has no owner: until the lease of an owner that died has run out, the
  * slot has moved, and what came meanwhile has been let through. */
-constexpr Duration OwnerWaitBound = std::chrono::milliseconds(8000);
+constexpr Duration MaxOwnerWait = std::chrono::milliseconds(8000);
 
 /** Between two questions to an owner that can't grant yet. */
-constexpr Duration AskAgainPeriod = std::chrono::milliseconds(150);
+constexpr Duration RetryInterval = std::chrono::milliseconds(150);
 
 /** When a caller is told to come back where no owner could be asked. */
-constexpr std::int64_t NotReadyRetryMs = 1000;
+constexpr std::int64_t NotReadyRetryAfterMs = 1000;
 
-std::int64_t millisecondsOf(Duration duration)
+std::int64_t toMsRoundedUp(Duration duration)
 {
     return duration.count() / 1000 + 1;
 }
@@ -36,62 +36,63 @@
 {
 }
 
-bool AdmissionGate::isCurrent(const Caller &caller) const
+bool AdmissionGate::isKeyActive(const ClientIdentity &client) const
 {
     const auto view = this->follower.views.get();
-    return std::any_of(view->callers.begin(), view->callers.end(), [&](const auto &known) {
-        return known.second.key == caller.key;
+    return std::any_of(view->clients.begin(), view->clients.end(), [&](const auto &known) {
+        return known.second.key == client.key;
     });
 }
 
-Result<void> AdmissionGate::hold(const Caller &caller, Duration delay, Instant usableUntil, bool &late)
+Result<void> AdmissionGate::waitForGrant(
+    const ClientIdentity &client, Duration delay, Instant usableUntil, bool &expired)
 {
     if (delay > Duration(0)) {
         std::this_thread::sleep_for(delay);
-        if (!this->isCurrent(caller)) {
+        if (!this->isKeyActive(client)) {
             return fail(ErrorKind::UnknownKey, "the key was withdrawn");
         }
     }
-    late = this->loop.timers().now() > usableUntil;
+    expired = this->loop.timers().now() > usableUntil;
     return {};
 }
 
-Result<void> AdmissionGate::admit(const Caller &caller)
+Result<void> AdmissionGate::admit(const ClientIdentity &client)
 {
-    if (!this->follower.views.get()->tenants.contains(caller.tenant)) {
+    if (!this->follower.views.get()->tenants.contains(client.tenant)) {
         return fail(ErrorKind::UnknownKey, "the tenant is not declared");
     }
     const Instant begin = this->loop.timers().now();
     for (;;) {
-        const Instant askedAt = this->loop.timers().now();
+        const Instant requestedAt = this->loop.timers().now();
         const AdmitVerdict verdict = this->loop.call([&]() {
-            return this->client.ask(caller.tenant);
+            return this->client.requestAdmission(client.tenant);
         });
         const bool granted = verdict.state == AdmitState::Decided && !verdict.delays.empty();
         if (granted) {
-            bool late = false;
+            bool expired = false;
             // The owner granted after it was asked, so counted from then the grant is used in time by its clock too.
             const Duration delay = verdict.delays.front();
-            Result<void> held = this->hold(caller, delay, askedAt + delay + GrantLife, late);
-            if (!held || !late) {
+            Result<void> grantResult = this->waitForGrant(client, delay, requestedAt + delay + GrantLife, expired);
+            if (!grantResult || !expired) {
                 metrics().record(MetricKind::AdmissionHoldMs,
-                    static_cast<double>((this->loop.timers().now() - begin).count()) / 1e3, caller.tenant.text);
-                return held;
+                    static_cast<double>((this->loop.timers().now() - begin).count()) / 1e3, client.tenant.text);
+                return grantResult;
             }
         }
         const bool overRate = verdict.state == AdmitState::Decided && !granted;
-        const Duration pause = std::clamp(verdict.retryAfter, AskAgainPeriod / 10, AskAgainPeriod);
-        const Duration waited = this->loop.timers().now() + pause - begin;
-        if (overRate && (!verdict.recovering || waited > OwnerWaitBound)) {
+        const Duration retryDelay = std::clamp(verdict.retryAfter, RetryInterval / 10, RetryInterval);
+        const Duration waited = this->loop.timers().now() + retryDelay - begin;
+        if (overRate && (!verdict.recovering || waited > MaxOwnerWait)) {
             return tl::unexpected(
-                Error{ErrorKind::RateExceeded, caller.tenant.text, Ran::No, millisecondsOf(verdict.retryAfter)});
+                Error{ErrorKind::RateExceeded, client.tenant.text, Ran::No, toMsRoundedUp(verdict.retryAfter)});
         }
-        if (waited > OwnerWaitBound || !this->follower.isFresh()) {
+        if (waited > MaxOwnerWait || !this->follower.isFresh()) {
             return tl::unexpected(Error{ErrorKind::NotReady, "the tenant's bucket has no owner that can be reached",
-                Ran::No, std::max(NotReadyRetryMs, millisecondsOf(verdict.retryAfter))});
+                Ran::No, std::max(NotReadyRetryAfterMs, toMsRoundedUp(verdict.retryAfter))});
         }
         if (!granted) {
-            std::this_thread::sleep_for(verdict.state == AdmitState::NotOwner ? AskAgainPeriod : pause);
+            std::this_thread::sleep_for(verdict.state == AdmitState::NotOwner ? RetryInterval : retryDelay);
         }
     }
 }
--- a/src/entry/admission_gate_base.h
+++ b/src/entry/admission_gate_base.h
@@ -16,13 +16,13 @@
     /** Takes one request out of the tenant's bucket, and holds it for a bounded time until it is inside the rate. For
      * traffic threads. Errors, all at once when it is given up: RateExceeded and NotReady, with when to come back;
      * UnknownKey where the key was withdrawn meanwhile. */
-    Result<void> admit(const Caller &caller);
+    Result<void> admit(const ClientIdentity &client);
 
     AdmissionClient client; ///< For the control thread only.
 
 private:
-    Result<void> hold(const Caller &caller, Duration delay, Instant usableUntil, bool &late);
-    [[nodiscard]] bool isCurrent(const Caller &caller) const;
+    Result<void> waitForGrant(const ClientIdentity &client, Duration delay, Instant usableUntil, bool &expired);
+    [[nodiscard]] bool isKeyActive(const ClientIdentity &client) const;
 
     ControlLoop &loop; ///< Outlives this.
     FleetFollower &follower; ///< Outlives this; only its views are read.
--- a/src/entry/call_runner_base.cpp
+++ b/src/entry/call_responder_base.cpp
@@ -1,5 +1,5 @@
-/** @file call_runner_base.cpp  Passing a call's answer to its caller. */
-#include "entry/call_runner_base.h"
+/** @file call_responder_base.cpp  Passing a call's answer to its caller. */
+#include "entry/call_responder_base.h"
 
 #include <utility>
 
@@ -18,19 +18,19 @@
 constexpr std::size_t AttemptIdBytes = 12;
 
 /** How often a quiet stream's caller is looked after. */
-constexpr auto LookPeriod = std::chrono::milliseconds(200);
+constexpr auto AbandonCheckInterval = std::chrono::milliseconds(200);
 
 } // namespace
 
-CallRunner::CallRunner(EntryContext &context, AnswerWriter &answer, ProgramId program, TenantId tenant)
+CallResponder::CallResponder(EntryContext &context, ResponseWriter &writer, ProgramId program, TenantId tenant)
     : context(context)
-    , answer(answer)
+    , writer(writer)
     , program(std::move(program))
     , tenant(std::move(tenant))
 {
 }
 
-Result<void> CallRunner::run(CallNumber number, const CallRequest &request)
+Result<void> CallResponder::run(CallNumber number, const CallRequest &request)
 {
     const Result<CallStart> start = this->context.loop.call([&]() {
         return this->context.programs.beginCall(this->program, number, this->tenant, request);
@@ -39,31 +39,31 @@
         return tl::unexpected(start.error());
     }
     if (start->stored) {
-        return this->reply(start->call, request);
+        return this->sendResponse(start->call, request);
     }
-    if (start->fresh) {
+    if (start->isNew) {
         Result<void> started = this->startWorker(request, *start);
         if (!started) {
             return started;
         }
     }
-    return this->follow(*start->stream, request, start->call.attempt);
+    return this->relay(*start->stream, request, start->call.attempt);
 }
 
-Result<void> CallRunner::runPlain(const CallRequest &request, std::int64_t timeoutMs)
+Result<void> CallResponder::runStateless(const CallRequest &request, std::int64_t timeoutMs)
 {
     CallStart start;
-    start.fresh = true;
+    start.isNew = true;
     start.timeoutMs = timeoutMs;
     start.call.attempt = AttemptId{"a-" + randomHex(AttemptIdBytes)};
     start.call.request = request.body;
     start.stream = std::make_shared<CallStream>(true);
-    start.stream->join();
+    start.stream->addReader();
     Result<void> started = this->startWorker(request, start);
-    return started ? this->follow(*start.stream, request, start.call.attempt) : started;
+    return started ? this->relay(*start.stream, request, start.call.attempt) : started;
 }
 
-Result<void> CallRunner::startWorker(const CallRequest &request, const CallStart &start)
+Result<void> CallResponder::startWorker(const CallRequest &request, const CallStart &start)
 {
     Result<void> started = this->context.workers.run(
         [&context = this->context, program = this->program, tenant = this->tenant, request, start]() {
@@ -87,57 +87,57 @@
     return started;
 }
 
-void CallRunner::writeText(const CallRequest &request, const AttemptId &attempt, std::string_view text)
+void CallResponder::writeChunk(const CallRequest &request, const AttemptId &attempt, std::string_view text)
 {
-    if (!this->answer.isStarted()) {
-        this->answer.start(StatusOk, {{"Content-Type", "text/event-stream"}, {"Cache-Control", "no-store"}}, -1);
+    if (!this->writer.isStarted()) {
+        this->writer.start(StatusOk, {{"Content-Type", "text/event-stream"}, {"Cache-Control", "no-store"}}, -1);
     }
-    this->answer.write(chunkEvent(attempt, request.model.text, text));
+    this->writer.write(chunkEvent(attempt, request.model.text, text));
 }
 
-Result<void> CallRunner::follow(CallStream &stream, const CallRequest &request, const AttemptId &attempt)
+Result<void> CallResponder::relay(CallStream &stream, const CallRequest &request, const AttemptId &attempt)
 {
-    std::size_t seen = 0;
-    CallStream::Part part;
-    while (!part.done) {
-        part = stream.read(seen, LookPeriod);
-        seen += part.text.size();
-        if (this->answer.isGone()) {
-            stream.leave();
+    std::size_t bytesRead = 0;
+    CallStream::Chunk chunk;
+    while (!chunk.done) {
+        chunk = stream.read(bytesRead, AbandonCheckInterval);
+        bytesRead += chunk.text.size();
+        if (this->writer.isAbandoned()) {
+            stream.removeReader();
             return {};
         }
-        if (request.stream && !part.text.empty()) {
-            this->writeText(request, attempt, part.text);
+        if (request.stream && !chunk.text.empty()) {
+            this->writeChunk(request, attempt, chunk.text);
         }
     }
-    stream.leave();
+    stream.removeReader();
     const Result<CallRecord> &result = stream.result();
-    if (!this->answer.isStarted()) {
-        return this->reply(result, request);
+    if (!this->writer.isStarted()) {
+        return this->sendResponse(result, request);
     }
     if (result && !result->failure) {
-        this->answer.write(lastEvents(*result, request.model.text));
+        this->writer.write(finalEvents(*result, request.model.text));
     } else {
-        this->answer.write("event: error\ndata: " + errorJson(result ? *result->failure : result.error()) + "\n\n");
+        this->writer.write("event: error\ndata: " + errorJson(result ? *result->failure : result.error()) + "\n\n");
     }
-    this->answer.end();
+    this->writer.end();
     return {};
 }
 
-Result<void> CallRunner::reply(const Result<CallRecord> &result, const CallRequest &request)
+Result<void> CallResponder::sendResponse(const Result<CallRecord> &result, const CallRequest &request)
 {
     if (!result || result->failure) {
         return tl::unexpected(result ? *result->failure : result.error());
     }
     if (request.kind == CallKind::Tool) {
         const std::string type = result->contentType.empty() ? "application/json" : result->contentType;
-        replyText(this->answer, result->status, type, result->answer);
+        replyText(this->writer, result->status, type, result->answer);
     } else if (request.stream) {
-        this->writeText(request, result->attempt, result->answer);
-        this->answer.write(lastEvents(*result, request.model.text));
-        this->answer.end();
+        this->writeChunk(request, result->attempt, result->answer);
+        this->writer.write(finalEvents(*result, request.model.text));
+        this->writer.end();
     } else {
-        replyJson(this->answer, StatusOk, completionJson(*result, request.model.text));
+        replyJson(this->writer, StatusOk, completionJson(*result, request.model.text));
     }
     return {};
 }
--- a/src/entry/call_runner_base.h
+++ b/src/entry/call_responder_base.h
@@ -1,36 +1,37 @@
-/** @file call_runner_base.h  Gives one caller the answer to a call: the stored one, or the running call's as it comes.
+/** @file call_responder_base.h  Gives one caller the answer to a call: the stored one, or the running call's as it
+ * comes.
  */
 #pragma once
 
 #include <string>
 
-#include "entry/answer_writer_base.h"
 #include "entry/entry_context_type.h"
+#include "entry/response_writer_base.h"
 #include "program/call_request_type.h"
 
 namespace Chestnuthook
 {
 
 /** For one request on one traffic thread. */
-class CallRunner
+class CallResponder
 {
 public:
-    CallRunner(EntryContext &context, AnswerWriter &answer, ProgramId program, TenantId tenant);
+    CallResponder(EntryContext &context, ResponseWriter &writer, ProgramId program, TenantId tenant);
 
     /** Begins or joins the call and passes its answer on. Errors: those of the call, where nothing was written yet. */
     Result<void> run(CallNumber number, const CallRequest &request);
 
     /** Runs an idempotent request to a plain service, of which nothing is kept. */
-    Result<void> runPlain(const CallRequest &request, std::int64_t timeoutMs);
+    Result<void> runStateless(const CallRequest &request, std::int64_t timeoutMs);
 
 private:
     Result<void> startWorker(const CallRequest &request, const CallStart &start);
-    Result<void> follow(CallStream &stream, const CallRequest &request, const AttemptId &attempt);
-    Result<void> reply(const Result<CallRecord> &result, const CallRequest &request);
-    void writeText(const CallRequest &request, const AttemptId &attempt, std::string_view text);
+    Result<void> relay(CallStream &stream, const CallRequest &request, const AttemptId &attempt);
+    Result<void> sendResponse(const Result<CallRecord> &result, const CallRequest &request);
+    void writeChunk(const CallRequest &request, const AttemptId &attempt, std::string_view text);
 
     EntryContext &context; ///< Of the entry.
-    AnswerWriter &answer; ///< To the caller.
+    ResponseWriter &writer; ///< To the caller.
     ProgramId program; ///< Whose call it is; empty for none.
     TenantId tenant; ///< For whom it runs.
 };
--- a/src/entry/call_stream_base.cpp
+++ b/src/entry/call_stream_base.cpp
@@ -25,29 +25,29 @@
     this->changed.notify_all();
 }
 
-CallStream::Part CallStream::read(std::size_t offset, std::chrono::milliseconds patience)
+CallStream::Chunk CallStream::read(std::size_t offset, std::chrono::milliseconds timeout)
 {
     std::unique_lock lock(this->mutex);
-    this->changed.wait_for(lock, patience, [&]() {
+    this->changed.wait_for(lock, timeout, [&]() {
         return this->done || this->text.size() > offset;
     });
-    return Part{this->text.substr(std::min(offset, this->text.size())), this->done};
+    return Chunk{this->text.substr(std::min(offset, this->text.size())), this->done};
 }
 
-void CallStream::join()
+void CallStream::addReader()
 {
     const std::lock_guard lock(this->mutex);
     ++this->readers;
 }
 
-void CallStream::leave()
+void CallStream::removeReader()
 {
-    bool last = false;
+    bool cancelAttempt = false;
     {
         const std::lock_guard lock(this->mutex);
-        last = --this->readers == 0 && !this->done;
+        cancelAttempt = --this->readers == 0 && !this->done;
     }
-    if (last && this->cancellable) {
+    if (cancelAttempt && this->cancellable) {
         this->cancel.cancel();
     }
 }
--- a/src/entry/call_stream_base.h
+++ b/src/entry/call_stream_base.h
@@ -25,7 +25,7 @@
     }
 
     /** What a reader has not seen yet. */
-    struct Part
+    struct Chunk
     {
         std::string text; ///< What follows the offset that was asked for.
         bool done = false; ///< The call has ended; `result` is set.
@@ -38,7 +38,7 @@
     void finish(Result<CallRecord> outcome);
 
     /** Waits until there is more than @p offset bytes, or the end, or @p patience is over. */
-    Part read(std::size_t offset, std::chrono::milliseconds patience);
+    Chunk read(std::size_t offset, std::chrono::milliseconds timeout);
 
     /** The end of the call. Valid once a part was `done`. */
     [[nodiscard]] const Result<CallRecord> &result() const
@@ -46,10 +46,10 @@
         return this->outcome;
     }
 
-    void join();
+    void addReader();
 
     /** The last reader to leave cancels the engine's work where the call may run again. */
-    void leave();
+    void removeReader();
 
     CancelToken cancel; ///< Ends the attempt under way.
     const bool cancellable; ///< Idempotent. Others run on, as only their result tells whether they ran.
--- a/src/entry/call_worker_base.cpp
+++ b/src/entry/call_worker_base.cpp
@@ -18,19 +18,19 @@
 constexpr int StatusOk = 200;
 constexpr int StatusBadRequest = 400;
 constexpr int StatusNotFound = 404;
-constexpr int StatusTooMany = 429;
+constexpr int StatusTooManyRequests = 429;
 constexpr int StatusServerError = 500;
 
 /** A pause between two bytes that is longer than this share of the deadline counts as a hang. */
-constexpr std::int64_t QuietShareOfEngine = 6;
-constexpr std::int64_t QuietShareOfService = 2;
+constexpr std::int64_t EngineStallDivisor = 6;
+constexpr std::int64_t ServiceStallDivisor = 2;
 
 /** How long a call waits for an endpoint that can take it, while none is there. */
-constexpr unsigned MaxWaits = 15;
-constexpr auto WaitForEndpoint = std::chrono::milliseconds(200);
+constexpr unsigned MaxEndpointWaits = 15;
+constexpr auto EndpointWaitInterval = std::chrono::milliseconds(200);
 
-constexpr std::int64_t HealthTimeoutMs = 500;
-constexpr auto HealthDelay = std::chrono::milliseconds(50);
+constexpr std::int64_t HealthCheckTimeoutMs = 500;
+constexpr auto HealthCheckDelay = std::chrono::milliseconds(50);
 
 std::string messageJson(const ChatMessage &message)
 {
@@ -38,20 +38,20 @@
 }
 
 /** Whether the endpoint answers its health check. */
-bool isAlive(const EndpointId &endpoint)
+bool passesHealthCheck(const EndpointId &endpoint)
 {
     AttemptRequest request;
     request.address = endpoint.text;
     request.method = "GET";
     request.path = "/healthz";
-    request.timeoutMs = HealthTimeoutMs;
+    request.timeoutMs = HealthCheckTimeoutMs;
     CancelToken cancel;
     return runServiceAttempt(request, cancel).complete;
 }
 
 } // namespace
 
-std::string engineBody(const CallRequest &request, const CallStart &start, const std::string &sent)
+std::string engineRequestBody(const CallRequest &request, const CallStart &start, const std::string &sent)
 {
     std::string messages;
     for (const auto *part : {&start.history, &request.messages}) {
@@ -68,29 +68,29 @@
     return body;
 }
 
-CallWorker::CallWorker(EntryContext &context, ProgramId program, TenantId tenant, CallRequest request, CallStart given)
+CallWorker::CallWorker(EntryContext &context, ProgramId program, TenantId tenant, CallRequest request, CallStart plan)
     : context(context)
     , program(std::move(program))
     , tenant(std::move(tenant))
     , request(std::move(request))
-    , start(std::move(given))
+    , start(std::move(plan))
     , call(this->start.call)
-    , end(context.loop.timers().now() + std::chrono::milliseconds(this->start.timeoutMs))
+    , deadline(context.loop.timers().now() + std::chrono::milliseconds(this->start.timeoutMs))
 {
     const bool model = this->request.kind == CallKind::Model;
-    this->demand.kind = model ? EndpointKind::Engine : EndpointKind::Service;
-    this->demand.name = model ? this->request.model.text : this->request.service.text;
-    this->demand.program = this->program;
-    this->demand.tenant = this->tenant;
-    this->demand.maxTokens = this->start.maxTokens;
-    this->demand.promptTokens = this->start.promptBound;
-    this->demand.attainedTokens = this->start.attainedTokens;
-    this->demand.fingerprint = fingerprintOf(this->tenant, this->request);
+    this->dispatchRequest.kind = model ? EndpointKind::Engine : EndpointKind::Service;
+    this->dispatchRequest.name = model ? this->request.model.text : this->request.service.text;
+    this->dispatchRequest.program = this->program;
+    this->dispatchRequest.tenant = this->tenant;
+    this->dispatchRequest.maxTokens = this->start.maxTokens;
+    this->dispatchRequest.promptTokens = this->start.maxPromptTokens;
+    this->dispatchRequest.attainedTokens = this->start.attainedTokens;
+    this->dispatchRequest.fingerprint = fingerprintOf(this->tenant, this->request);
 }
 
-std::int64_t CallWorker::leftMs() const
+std::int64_t CallWorker::remainingMs() const
 {
-    return (this->end - this->context.loop.timers().now()).count() / 1000;
+    return (this->deadline - this->context.loop.timers().now()).count() / 1000;
 }
 
 void CallWorker::run()
@@ -98,19 +98,20 @@
     const std::shared_ptr<CallStream> stream = this->start.stream;
     Result<CallRecord> result = fail(ErrorKind::Internal, "", Ran::Unknown);
     try {
-        this->context.deadlines.add(this->end, std::shared_ptr<CancelToken>(stream, &stream->cancel));
+        this->context.deadlines.add(this->deadline, std::shared_ptr<CancelToken>(stream, &stream->cancel));
         result = this->runAttempts();
     } catch (const std::exception &exception) {
         result = fail(ErrorKind::Internal, exception.what(), Ran::Unknown);
-        this->abandon();
+        this->abandonCall();
     } catch (const kj::Exception &exception) {
-        result = fail(ErrorKind::NotReady, exception.getDescription().cStr(), this->ran ? Ran::Unknown : Ran::No);
-        this->abandon();
+        result =
+            fail(ErrorKind::NotReady, exception.getDescription().cStr(), this->mayHaveRun ? Ran::Unknown : Ran::No);
+        this->abandonCall();
     }
     stream->finish(std::move(result));
 }
 
-void CallWorker::abandon()
+void CallWorker::abandonCall()
 {
     try {
         this->context.loop.call([this]() {
@@ -124,65 +125,66 @@
 Result<CallRecord> CallWorker::runAttempts()
 {
     this->strikes = this->context.loop.call([this]() {
-        return this->context.quarantine.strikesOf(this->demand.fingerprint);
+        return this->context.quarantine.countStrikes(this->dispatchRequest.fingerprint);
     });
-    Next next = Next::Retry;
-    while (next == Next::Retry) {
-        next = this->tryOnce();
+    NextStep next = NextStep::Retry;
+    while (next == NextStep::Retry) {
+        next = this->runAttempt();
     }
-    if (next == Next::Done && this->strikes == 1) {
+    if (next == NextStep::Done && this->strikes == 1) {
         this->context.loop.call([this]() {
-            return this->context.quarantine.clear(this->demand.fingerprint);
+            return this->context.quarantine.clearStrikes(this->dispatchRequest.fingerprint);
         });
     }
     return this->commit();
 }
 
-CallWorker::Next CallWorker::giveUp(ErrorKind kind, const std::string &what, std::int64_t retryAfterMs)
+CallWorker::NextStep CallWorker::failCall(ErrorKind kind, const std::string &what, std::int64_t retryAfterMs)
 {
-    const bool unknown = this->ran && !this->start.idempotent;
-    const Ran truth = !this->ran ? Ran::No : unknown ? Ran::Unknown : Ran::Yes;
-    this->call.failure = Error{unknown ? ErrorKind::OutcomeUnknown : kind, what, truth, retryAfterMs};
-    return Next::Failed;
+    const bool unknown = this->mayHaveRun && !this->start.idempotent;
+    const Ran ranState = !this->mayHaveRun ? Ran::No : unknown ? Ran::Unknown : Ran::Yes;
+    this->call.failure = Error{unknown ? ErrorKind::OutcomeUnknown : kind, what, ranState, retryAfterMs};
+    return NextStep::Failed;
 }
 
-bool CallWorker::waitToRetry()
+bool CallWorker::waitForEndpoint()
 {
-    if (this->start.stream->cancel.isCancelled() || this->leftMs() <= 0) {
+    if (this->start.stream->cancel.isCancelled() || this->remainingMs() <= 0) {
         return false;
     }
-    std::this_thread::sleep_for(WaitForEndpoint);
-    return ++this->waits < MaxWaits;
+    std::this_thread::sleep_for(EndpointWaitInterval);
+    return ++this->endpointWaits < MaxEndpointWaits;
 }
 
-CallWorker::Next CallWorker::tryOnce()
+CallWorker::NextStep CallWorker::runAttempt()
 {
-    if (this->strikes >= StrikesToRefuse) {
-        const std::int64_t refusedForMs = this->context.loop.call([this]() {
-            return this->context.quarantine.refusedForMs(this->demand.fingerprint);
+    if (this->strikes >= MinStrikesToRefuse) {
+        const std::int64_t remainingRefusalMs = this->context.loop.call([this]() {
+            return this->context.quarantine.remainingRefusalMs(this->dispatchRequest.fingerprint);
         });
-        logEvent(EventKind::RequestQuarantined, {{"fingerprint", this->demand.fingerprint}});
-        return this->giveUp(ErrorKind::Quarantined, "", refusedForMs);
+        logEvent(EventKind::RequestQuarantined, {{"fingerprint", this->dispatchRequest.fingerprint}});
+        return this->failCall(ErrorKind::Quarantined, "", remainingRefusalMs);
     }
-    if (this->start.stream->cancel.isExpired() || this->leftMs() <= 0) {
-        return this->giveUp(ErrorKind::DeadlineExceeded, "");
+    if (this->start.stream->cancel.isExpired() || this->remainingMs() <= 0) {
+        return this->failCall(ErrorKind::DeadlineExceeded, "");
     }
     if (this->start.stream->cancel.isCancelled()) {
-        return this->giveUp(ErrorKind::Cancelled, "");
+        return this->failCall(ErrorKind::Cancelled, "");
     }
-    this->demand.isolated = this->strikes > 0;
-    this->demand.deadlineMs = this->leftMs();
-    const Result<DispatchPermit> permit = this->context.dispatch.acquire(this->demand);
+    this->dispatchRequest.isolated = this->strikes > 0;
+    this->dispatchRequest.deadlineMs = this->remainingMs();
+    const Result<DispatchPermit> permit = this->context.dispatch.acquire(this->dispatchRequest);
     if (!permit) {
         if (permit.error().kind != ErrorKind::NoEndpoint) {
-            return this->giveUp(permit.error().kind, permit.error().what, permit.error().retryAfterMs);
+            return this->failCall(permit.error().kind, permit.error().what, permit.error().retryAfterMs);
         }
-        this->demand.avoid.clear(); // Rather one that failed before than none.
-        return this->waitToRetry() ? Next::Retry : this->giveUp(ErrorKind::NoEndpoint, this->demand.name, 1000);
+        this->dispatchRequest.excluded.clear(); // Rather one that failed before than none.
+        return this->waitForEndpoint() ? NextStep::Retry
+                                       : this->failCall(ErrorKind::NoEndpoint, this->dispatchRequest.name, 1000);
     }
-    const AttemptOutcome outcome = this->attempt(*permit);
-    this->context.dispatch.release(*permit, this->demand, outcome);
-    return this->judge(*permit, outcome);
+    const AttemptOutcome outcome = this->executeAttempt(*permit);
+    this->context.dispatch.release(*permit, this->dispatchRequest, outcome);
+    return this->evaluate(*permit, outcome);
 }
 
 AttemptRequest CallWorker::requestFor(const DispatchPermit &permit) const
@@ -197,22 +199,22 @@
     attempt.address = permit.endpoint.text;
     attempt.method = model ? "POST" : this->request.method;
     attempt.path = model ? "/v1/chat/completions" : this->request.path;
-    attempt.body = model ? engineBody(this->request, this->start, this->call.answer) + R"(,"priority":)"
+    attempt.body = model ? engineRequestBody(this->request, this->start, this->call.answer) + R"(,"priority":)"
             + std::to_string(permit.priority) + "}"
                          : this->request.toolBody;
     const std::string type = model ? "application/json" : this->request.contentType;
     attempt.contentType = attempt.body.empty() ? "" : type;
-    const std::int64_t share = model ? QuietShareOfEngine : this->start.idempotent ? QuietShareOfService : 1;
-    const std::int64_t quiet = this->start.timeoutMs / share;
-    attempt.timeoutMs = std::max<std::int64_t>(1, std::min(quiet, this->leftMs()));
+    const std::int64_t divisor = model ? EngineStallDivisor : this->start.idempotent ? ServiceStallDivisor : 1;
+    const std::int64_t stallTimeoutMs = this->start.timeoutMs / divisor;
+    attempt.timeoutMs = std::max<std::int64_t>(1, std::min(stallTimeoutMs, this->remainingMs()));
     return attempt;
 }
 
-AttemptOutcome CallWorker::attempt(const DispatchPermit &permit)
+AttemptOutcome CallWorker::executeAttempt(const DispatchPermit &permit)
 {
     CallStream &stream = *this->start.stream;
     if (this->request.kind == CallKind::Model) {
-        const std::uint64_t need = this->start.promptBound + this->start.maxTokens;
+        const std::uint64_t need = this->start.maxPromptTokens + this->start.maxTokens;
         const Result<void> prepared = this->context.loop.call([&]() {
             return this->context.programs.prepareAttempt(this->program, permit.endpoint, need);
         });
@@ -235,76 +237,77 @@
         attempt,
         [&](std::string_view text) {
             this->call.answer += text;
-            ++this->pieces;
+            ++this->textChunks;
             stream.append(text);
             return true;
         },
         stream.cancel);
 }
 
-CallWorker::Next CallWorker::judge(const DispatchPermit &permit, const AttemptOutcome &outcome)
+CallWorker::NextStep CallWorker::evaluate(const DispatchPermit &permit, const AttemptOutcome &outcome)
 {
-    this->ran = this->ran || outcome.sent;
+    this->mayHaveRun = this->mayHaveRun || outcome.sent;
     if (this->call.failure) {
-        return this->giveUp(this->call.failure->kind, this->call.failure->what);
+        return this->failCall(this->call.failure->kind, this->call.failure->what);
     }
-    const Next next = this->request.kind == CallKind::Model ? this->judgeEngine(outcome) : this->judgeService(outcome);
-    if (next == Next::Done) {
+    const NextStep next =
+        this->request.kind == CallKind::Model ? this->evaluateEngine(outcome) : this->evaluateService(outcome);
+    if (next == NextStep::Done) {
         return next;
     }
     logEvent(EventKind::AttemptFailed,
         {{"program", this->program.text}, {"endpoint", permit.endpoint.text}, {"error", outcome.what}});
-    this->strikeIfDead(permit, outcome);
-    if (next == Next::Failed) {
+    this->strikeIfEndpointDied(permit, outcome);
+    if (next == NextStep::Failed) {
         return next;
     }
-    if (this->strikes < StrikesToRefuse && !this->context.dispatch.mayRetry(this->demand)) {
-        return this->giveUp(ErrorKind::EndpointFailed, "the retry budget is used up: " + outcome.what, 1000);
+    if (this->strikes < MinStrikesToRefuse && !this->context.dispatch.consumeRetry(this->dispatchRequest)) {
+        return this->failCall(ErrorKind::EndpointFailed, "the retry budget is used up: " + outcome.what, 1000);
     }
-    this->demand.avoid.push_back(permit.endpoint);
+    this->dispatchRequest.excluded.push_back(permit.endpoint);
     std::this_thread::sleep_for(this->context.dispatch.retryDelay(std::max(1U, this->attempts)));
-    return Next::Retry;
+    return NextStep::Retry;
 }
 
-CallWorker::Next CallWorker::judgeEngine(const AttemptOutcome &outcome)
+CallWorker::NextStep CallWorker::evaluateEngine(const AttemptOutcome &outcome)
 {
     if (outcome.complete) {
         // The prompt of an attempt that continued the answer held what was sent before.
         this->call.tokens = outcome.promptTokens + outcome.completionTokens;
-        this->call.promptTokens = this->call.tokens - std::min(this->call.tokens, this->pieces);
+        this->call.promptTokens = this->call.tokens - std::min(this->call.tokens, this->textChunks);
         this->call.finishReason = outcome.finishReason;
         this->call.status = StatusOk;
-        return Next::Done;
+        return NextStep::Done;
     }
     const bool refused = outcome.status >= StatusBadRequest && outcome.status < StatusServerError
-        && outcome.status != StatusNotFound && outcome.status != StatusTooMany;
-    return refused ? this->giveUp(ErrorKind::EndpointFailed, "the engine refused the request") : Next::Retry;
+        && outcome.status != StatusNotFound && outcome.status != StatusTooManyRequests;
+    return refused ? this->failCall(ErrorKind::EndpointFailed, "the engine refused the request") : NextStep::Retry;
 }
 
-CallWorker::Next CallWorker::judgeService(const AttemptOutcome &outcome)
+CallWorker::NextStep CallWorker::evaluateService(const AttemptOutcome &outcome)
 {
     const bool again = this->start.idempotent && outcome.complete && outcome.status >= StatusServerError;
     if (outcome.complete && !again) {
         this->call.answer = outcome.body;
         this->call.status = outcome.status;
         this->call.contentType = outcome.contentType;
-        return Next::Done;
+        return NextStep::Done;
     }
     if (!outcome.sent || this->start.idempotent) {
-        return Next::Retry;
+        return NextStep::Retry;
     }
-    return this->giveUp(ErrorKind::OutcomeUnknown, outcome.what);
+    return this->failCall(ErrorKind::OutcomeUnknown, outcome.what);
 }
 
-void CallWorker::strikeIfDead(const DispatchPermit &permit, const AttemptOutcome &outcome)
+void CallWorker::strikeIfEndpointDied(const DispatchPermit &permit, const AttemptOutcome &outcome)
 {
     if (!outcome.sent || !outcome.broken || this->start.stream->cancel.isCancelled()) {
         return;
     }
-    std::this_thread::sleep_for(HealthDelay);
-    if (!isAlive(permit.endpoint)) {
+    std::this_thread::sleep_for(HealthCheckDelay);
+    if (!passesHealthCheck(permit.endpoint)) {
         this->strikes = this->context.loop.call([&]() {
-            return this->context.quarantine.strike(this->demand.fingerprint, permit.endpoint);
+            return this->context.quarantine.recordStrike(this->dispatchRequest.fingerprint, permit.endpoint);
         });
     }
 }
@@ -317,7 +320,8 @@
     }
     if (failed && this->start.idempotent) {
         this->context.loop.call([this]() {
-            this->context.programs.dropCall(this->program, this->ran ? this->start.promptBound + this->pieces : 0);
+            this->context.programs.dropCall(
+                this->program, this->mayHaveRun ? this->start.maxPromptTokens + this->textChunks : 0);
         });
         return tl::unexpected(*this->call.failure);
     }
--- a/src/entry/call_worker_base.h
+++ b/src/entry/call_worker_base.h
@@ -24,21 +24,21 @@
 
 private:
     /** How the call went on after an attempt. */
-    enum class Next : std::uint8_t { Retry, Done, Failed };
+    enum class NextStep : std::uint8_t { Retry, Done, Failed };
 
     Result<CallRecord> runAttempts();
-    Next tryOnce();
-    Next judge(const DispatchPermit &permit, const AttemptOutcome &outcome);
-    Next judgeEngine(const AttemptOutcome &outcome);
-    Next judgeService(const AttemptOutcome &outcome);
-    Next giveUp(ErrorKind kind, const std::string &what, std::int64_t retryAfterMs = 0);
-    AttemptOutcome attempt(const DispatchPermit &permit);
+    NextStep runAttempt();
+    NextStep evaluate(const DispatchPermit &permit, const AttemptOutcome &outcome);
+    NextStep evaluateEngine(const AttemptOutcome &outcome);
+    NextStep evaluateService(const AttemptOutcome &outcome);
+    NextStep failCall(ErrorKind kind, const std::string &what, std::int64_t retryAfterMs = 0);
+    AttemptOutcome executeAttempt(const DispatchPermit &permit);
     AttemptRequest requestFor(const DispatchPermit &permit) const;
-    bool waitToRetry();
-    void strikeIfDead(const DispatchPermit &permit, const AttemptOutcome &outcome);
-    [[nodiscard]] std::int64_t leftMs() const;
+    bool waitForEndpoint();
+    void strikeIfEndpointDied(const DispatchPermit &permit, const AttemptOutcome &outcome);
+    [[nodiscard]] std::int64_t remainingMs() const;
     Result<CallRecord> commit();
-    void abandon();
+    void abandonCall();
 
     EntryContext &context; ///< Of the entry.
     ProgramId program; ///< Whose call it is; empty for none.
@@ -46,16 +46,17 @@
     CallRequest request; ///< What to run.
     CallStart start; ///< From the runtime.
     CallRecord call; ///< The result in the making; `answer` is the text so far.
-    DispatchDemand demand; ///< Of the next attempt.
-    Instant end; ///< Nothing runs after it.
+    DispatchRequest dispatchRequest; ///< Of the next attempt.
+    Instant deadline; ///< Nothing runs after it.
     std::uint32_t strikes = 0; ///< Against this request.
     unsigned attempts = 0; ///< Begun so far.
-    unsigned waits = 0; ///< For an endpoint.
-    std::uint64_t pieces = 0; ///< Pieces of text that came.
-    bool ran = false; ///< An attempt may have reached an endpoint.
+    unsigned endpointWaits = 0; ///< For an endpoint.
+    std::uint64_t textChunks = 0; ///< Pieces of text that came.
+    bool mayHaveRun = false; ///< An attempt may have reached an endpoint.
 };
 
 /** The engine's request: history and new messages as a chat completion that continues @p sent. */
-[[nodiscard]] std::string engineBody(const CallRequest &request, const CallStart &start, const std::string &sent);
+[[nodiscard]] std::string engineRequestBody(
+    const CallRequest &request, const CallStart &start, const std::string &sent);
 
 } // namespace Chestnuthook
--- a/src/entry/dispatch_base.cpp
+++ b/src/entry/dispatch_base.cpp
@@ -12,9 +12,9 @@
 namespace
 {
 
-std::string targetOf(const DispatchDemand &demand)
+std::string retryBudgetKey(const DispatchRequest &request)
 {
-    return (demand.kind == EndpointKind::Engine ? "engine/" : "service/") + demand.name;
+    return (request.kind == EndpointKind::Engine ? "engine/" : "service/") + request.name;
 }
 
 } // namespace
@@ -40,35 +40,35 @@
     return this->list.load();
 }
 
-Result<DispatchPermit> Dispatch::acquire(const DispatchDemand &demand)
+Result<DispatchPermit> Dispatch::acquire(const DispatchRequest &request)
 {
     const Instant begin = this->loop.timers().now();
-    const kj::Own<PermitVerdict> verdict = this->loop.call([&]() {
-        return this->broker.acquire(demand);
+    const kj::Own<PermitResult> result = this->loop.call([&]() {
+        return this->broker.acquire(request);
     });
-    if (verdict->error) {
-        return tl::unexpected(*verdict->error);
+    if (result->error) {
+        return tl::unexpected(*result->error);
     }
-    const std::string &endpoint = verdict->permit.endpoint.text;
+    const std::string &endpoint = result->permit.endpoint.text;
     metrics().add(MetricKind::PermitsGranted, 1, endpoint);
     metrics().record(
         MetricKind::PermitWaitMs, static_cast<double>((this->loop.timers().now() - begin).count()) / 1e3, endpoint);
     const std::lock_guard lock(this->retryMutex);
-    this->retryBudgets[targetOf(demand)].onAttempt();
-    return verdict->permit;
+    this->retryBudgets[retryBudgetKey(request)].onAttempt();
+    return result->permit;
 }
 
-void Dispatch::release(const DispatchPermit &permit, const DispatchDemand &demand, const AttemptOutcome &outcome)
+void Dispatch::release(const DispatchPermit &permit, const DispatchRequest &request, const AttemptOutcome &outcome)
 {
     this->loop.call([&]() {
-        this->broker.release(permit, demand, outcome);
+        this->broker.release(permit, request, outcome);
     });
 }
 
-bool Dispatch::mayRetry(const DispatchDemand &demand)
+bool Dispatch::consumeRetry(const DispatchRequest &request)
 {
     const std::lock_guard lock(this->retryMutex);
-    return this->retryBudgets[targetOf(demand)].take();
+    return this->retryBudgets[retryBudgetKey(request)].take();
 }
 
 Duration Dispatch::retryDelay(unsigned retry)
--- a/src/entry/dispatch_base.h
+++ b/src/entry/dispatch_base.h
@@ -25,14 +25,14 @@
     Dispatch(ControlLoop &loop, FleetFollower &follower, PeerLinks &peers);
 
     /** Waits for a turn. Errors: NoEndpoint, Overloaded, DeadlineExceeded, Quarantined; all with ran = no. */
-    Result<DispatchPermit> acquire(const DispatchDemand &demand);
+    Result<DispatchPermit> acquire(const DispatchRequest &request);
 
     /** The attempt has ended; what it says of the endpoint's health and of the request is taken in. */
-    void release(const DispatchPermit &permit, const DispatchDemand &demand, const AttemptOutcome &outcome);
+    void release(const DispatchPermit &permit, const DispatchRequest &request, const AttemptOutcome &outcome);
 
     /** Takes one retry of @p demand's call out of the retry budget of its model or service.
      * @return false where retries have used it up: the call then fails with the error of its last attempt. */
-    bool mayRetry(const DispatchDemand &demand);
+    bool consumeRetry(const DispatchRequest &request);
 
     /** How long to wait before retry number @p retry (from 1): exponential, with full jitter. */
     [[nodiscard]] Duration retryDelay(unsigned retry);
--- a/src/entry/dispatch_demand_type.h
+++ b/src/entry/dispatch_request_type.h
@@ -1,4 +1,4 @@
-/** @file dispatch_demand_type.h  What an attempt asks of dispatch, and the permit that it gets. */
+/** @file dispatch_request_type.h  What an attempt asks of dispatch, and the permit that it gets. */
 #pragma once
 
 #include <cstdint>
@@ -12,7 +12,7 @@
 {
 
 /** What an attempt needs; enough to choose its endpoint and its place in the queue. */
-struct DispatchDemand
+struct DispatchRequest
 {
     EndpointKind kind = EndpointKind::Engine; ///< Engine or service.
     std::string name; ///< Model or service.
@@ -22,7 +22,7 @@
     std::uint32_t maxTokens = 0; ///< Bound of the answer.
     std::uint64_t attainedTokens = 0; ///< Service that the program has had; more goes first, see docs/POLICY.md.
     std::string fingerprint; ///< Of tenant and content, for quarantine.
-    std::vector<EndpointId> avoid; ///< Endpoints that failed this call before.
+    std::vector<EndpointId> excluded; ///< Endpoints that failed this call before.
     std::int64_t deadlineMs = 0; ///< How long the attempt may wait for its turn, in milliseconds; 0 for the default.
     bool isolated = false; ///< Suspected of crashing endpoints: nothing else is in flight at its endpoint.
 };
--- a/src/entry/entry_daemon_base.cpp
+++ b/src/entry/entry_daemon_base.cpp
@@ -15,20 +15,20 @@
 namespace
 {
 
-constexpr auto ListPollPeriod = std::chrono::milliseconds(300);
+constexpr auto ListPollInterval = std::chrono::milliseconds(300);
 
 /** How long callers go on using an address that the directory gave them. */
-constexpr Duration DirectoryPeriod = std::chrono::milliseconds(2500);
+constexpr Duration DirectoryMaxAge = std::chrono::milliseconds(2500);
 
 /** A call's own deadline is shorter, so this ends only what hangs in the process itself. */
-constexpr auto LongestDrain = std::chrono::seconds(120);
-constexpr auto DrainLookPeriod = std::chrono::milliseconds(50);
+constexpr auto MaxDrainTime = std::chrono::seconds(120);
+constexpr auto DrainCheckInterval = std::chrono::milliseconds(50);
 
-constexpr Duration DeadlinePeriod = std::chrono::milliseconds(50);
+constexpr Duration DeadlineCheckInterval = std::chrono::milliseconds(50);
 constexpr std::int64_t ReleaseTimeoutMs = 2000;
-constexpr auto ReleaseRetryPeriod = std::chrono::milliseconds(500);
+constexpr auto ReleaseRetryInterval = std::chrono::milliseconds(500);
 
-EntryRecord recordOf(const EntrySettings &settings)
+EntryRecord entryRecordOf(const EntrySettings &settings)
 {
     return EntryRecord{
         settings.id, Epoch{}, settings.address, settings.rpcAddress, settings.dataCentre, EntryState::Live};
@@ -36,11 +36,11 @@
 
 } // namespace
 
-EntryDaemon::EntryDaemon(EntrySettings given)
-    : settings(std::move(given))
+EntryDaemon::EntryDaemon(EntrySettings initialSettings)
+    : settings(std::move(initialSettings))
     , loop(this->settings.secret, this->settings.id.text)
     , client(this->loop.rpc(), this->settings.controls)
-    , follower(this->client, this->loop.timers(), recordOf(this->settings))
+    , follower(this->client, this->loop.timers(), entryRecordOf(this->settings))
     , peers(this->loop.rpc())
     , programs(this->follower, this->client, this->peers, this->loop.kjTimer())
     , quarantine(this->follower, this->client, this->peers, this->loop.kjTimer())
@@ -54,8 +54,8 @@
 EntryDaemon::~EntryDaemon()
 {
     this->stopListPoll();
-    if (this->stopThread.joinable()) {
-        this->stopThread.join();
+    if (this->drainThread.joinable()) {
+        this->drainThread.join();
     }
 }
 
@@ -66,14 +66,14 @@
         childRow("endpoint-list", *this, &Daemon::startListPoll, &Daemon::stopListPoll),
         childRow("fleet", *this, &Daemon::startFleet, &Daemon::stopFleet),
         childRow("programs", *this, &Daemon::startPrograms, &Daemon::stopPrograms, &Daemon::programsReady),
-        childRow("peers", *this, &Daemon::startPeers),
-        childRow("callers", *this, &Daemon::startCallers),
+        childRow("peers", *this, &Daemon::startPeerServer),
+        childRow("callers", *this, &Daemon::startClientPort),
     };
 }
 
 Result<void> EntryDaemon::startFleet()
 {
-    this->follower.onDrainOrdered = [this]() {
+    this->follower.onDrainRequested = [this]() {
         this->beginDrain();
     };
     this->follower.start();
@@ -96,7 +96,7 @@
         this->releaseCache(program, endpoint);
     };
     this->programs.start(this->loop.timers());
-    this->deadlineTimer = this->loop.timers().every(DeadlinePeriod, [this]() {
+    this->deadlineTimer = this->loop.timers().every(DeadlineCheckInterval, [this]() {
         this->context.deadlines.expire(this->loop.timers().now());
     });
     return {};
@@ -114,20 +114,20 @@
     return this->programs.ready();
 }
 
-Result<void> EntryDaemon::startPeers()
+Result<void> EntryDaemon::startPeerServer()
 {
     OfferedServices services{nullptr, kj::heap<EntryPeerServer>(this->context)};
     auto port = serveRpc(this->loop.rpc(), this->settings.rpcAddress, kj::mv(services));
     this->loop.detach(port.catch_([this](kj::Exception &&exception) {
-        this->fault = Error{ErrorKind::AddressInUse, exception.getDescription().cStr(), Ran::No, 0};
+        this->fatalError = Error{ErrorKind::AddressInUse, exception.getDescription().cStr(), Ran::No, 0};
         this->loop.stop();
     }));
     return {};
 }
 
-Result<void> EntryDaemon::startCallers()
+Result<void> EntryDaemon::startClientPort()
 {
-    return this->server.start(this->settings.address, this->settings.callers);
+    return this->server.start(this->settings.address, this->settings.clientPort);
 }
 
 Result<void> EntryDaemon::run()
@@ -144,8 +144,8 @@
     logEvent(EventKind::ProcessStarted, {{"listen", this->settings.address}, {"entry", this->settings.id.text}});
     this->loop.run();
     root.stop();
-    if (this->fault) {
-        return tl::unexpected(*this->fault);
+    if (this->fatalError) {
+        return tl::unexpected(*this->fatalError);
     }
     return {};
 }
@@ -153,12 +153,12 @@
 Result<void> EntryDaemon::startListPoll()
 {
     this->polling = true;
-    this->listThread = std::thread([this]() {
+    this->listPollThread = std::thread([this]() {
         while (this->polling) {
             if (auto list = fetchInstances(this->settings.platform)) {
                 this->context.dispatch.setEndpoints(std::make_shared<const EndpointList>(std::move(*list)));
             }
-            std::this_thread::sleep_for(ListPollPeriod);
+            std::this_thread::sleep_for(ListPollInterval);
         }
     });
     return {};
@@ -167,8 +167,8 @@
 void EntryDaemon::stopListPoll()
 {
     this->polling = false;
-    if (this->listThread.joinable()) {
-        this->listThread.join();
+    if (this->listPollThread.joinable()) {
+        this->listPollThread.join();
     }
 }
 
@@ -193,14 +193,14 @@
         // What is neither listed nor reachable holds no memory any more.
         const bool confirmed = (outcome.complete && outcome.status == 200) || (!outcome.sent && !listed);
         if (!confirmed) {
-            std::this_thread::sleep_for(ReleaseRetryPeriod);
+            std::this_thread::sleep_for(ReleaseRetryInterval);
         }
         this->loop.call([&]() {
-            return this->programs.released(program, endpoint, confirmed);
+            return this->programs.onCacheReleased(program, endpoint, confirmed);
         });
     });
     if (!started) {
-        this->loop.detach(this->programs.released(program, endpoint, false));
+        this->loop.detach(this->programs.onCacheReleased(program, endpoint, false));
     }
 }
 
@@ -211,23 +211,23 @@
     }
     logEvent(EventKind::DrainStarted, {});
     this->context.draining = true;
-    this->loop.detach(this->programs.returnBlocks().then([this]() {
+    this->loop.detach(this->programs.returnReservedTokens().then([this]() {
         this->follower.drain();
     }));
-    this->stopThread = std::thread([this]() {
+    this->drainThread = std::thread([this]() {
         this->drain();
     });
 }
 
 void EntryDaemon::drain()
 {
-    std::this_thread::sleep_for(DirectoryPeriod);
-    const auto end = std::chrono::steady_clock::now() + LongestDrain;
+    std::this_thread::sleep_for(DirectoryMaxAge);
+    const auto end = std::chrono::steady_clock::now() + MaxDrainTime;
     bool idle = false;
     while (!idle && std::chrono::steady_clock::now() < end) {
-        std::this_thread::sleep_for(DrainLookPeriod);
+        std::this_thread::sleep_for(DrainCheckInterval);
         const std::size_t calls = this->loop.call([this]() {
-            return this->programs.runningCalls();
+            return this->programs.runningCallCount();
         });
         idle = calls == 0 && this->context.openRequests == 0;
     }
--- a/src/entry/entry_daemon_base.h
+++ b/src/entry/entry_daemon_base.h
@@ -23,7 +23,7 @@
     EntryId id; ///< Of this process.
     DataCentreId dataCentre; ///< Of this instance.
     std::string secret; ///< The fleet's secret.
-    CallerSettings callers; ///< Limits and certificate of the callers' port.
+    ClientPortSettings clientPort; ///< Limits and certificate of the callers' port.
 };
 
 class EntryDaemon
@@ -47,8 +47,8 @@
     Result<void> startPrograms();
     void stopPrograms();
     [[nodiscard]] Result<void> programsReady() const;
-    Result<void> startPeers();
-    Result<void> startCallers();
+    Result<void> startPeerServer();
+    Result<void> startClientPort();
     void beginDrain();
     void drain();
     void releaseCache(const ProgramId &program, const EndpointId &endpoint);
@@ -62,11 +62,11 @@
     Quarantine quarantine; ///< Requests that crash endpoints.
     EntryContext context; ///< Shared with traffic threads.
     EntryServer server; ///< Callers.
-    std::optional<Error> fault; ///< Why the daemon ends by itself.
+    std::optional<Error> fatalError; ///< Why the daemon ends by itself.
     TimerSubscription deadlineTimer; ///< Ends attempts whose time has run out.
     std::atomic<bool> polling = false; ///< The list is polled.
-    std::thread listThread; ///< Polls the platform's list.
-    std::thread stopThread; ///< Ends the server while the control thread goes on.
+    std::thread listPollThread; ///< Polls the platform's list.
+    std::thread drainThread; ///< Ends the server while the control thread goes on.
 };
 
 } // namespace Chestnuthook
--- a/src/entry/entry_peer_admit.cpp
+++ b/src/entry/entry_peer_admit.cpp
@@ -18,8 +18,8 @@
     const auto requests = context.getParams().getRequests();
     auto replies = context.getResults().initReplies(requests.size());
     for (unsigned i = 0; i < requests.size(); ++i) {
-        const AdmitVerdict verdict =
-            this->entry.admission.client.decide(TenantId{textOf(requests[i].getTenant())}, requests[i].getRequests());
+        const AdmitVerdict verdict = this->entry.admission.client.admitAsOwner(
+            TenantId{textOf(requests[i].getTenant())}, requests[i].getRequests());
         auto reply = replies[i];
         reply.setHoldMs(static_cast<std::uint32_t>((verdict.retryAfter.count() + 999) / 1000));
         reply.setRecovering(verdict.recovering);
@@ -41,7 +41,7 @@
 kj::Promise<void> EntryPeerServer::giveUp(GiveUpContext context)
 {
     const auto slots = context.getParams().getSlots();
-    this->entry.admission.client.giveUp(slots, context.getResults().initSlots(slots.size()));
+    this->entry.admission.client.releaseSlots(slots, context.getResults().initSlots(slots.size()));
     return kj::READY_NOW;
 }
 
--- a/src/entry/entry_peer_forward.cpp
+++ b/src/entry/entry_peer_forward.cpp
@@ -19,14 +19,14 @@
 {
     kj::Maybe<Wire::AnswerSink::Client> sink; ///< For the control thread.
     kj::Maybe<kj::Own<kj::PromiseFulfiller<void>>> done; ///< For the control thread.
-    std::atomic<bool> gone = false; ///< The other entry no longer reads.
+    std::atomic<bool> abandoned = false; ///< The other entry no longer reads.
 };
 
 /** Sends the answer to the entry that the caller reached. */
-class PeerAnswerWriter final : public AnswerWriter
+class PeerResponseWriter final : public ResponseWriter
 {
 public:
-    PeerAnswerWriter(EntryContext &entry, std::shared_ptr<ForwardedCall> call)
+    PeerResponseWriter(EntryContext &entry, std::shared_ptr<ForwardedCall> call)
         : entry(entry)
         , call(std::move(call))
     {
@@ -53,7 +53,7 @@
             request.setBytes(dataOf(bytes));
             return request.send().ignoreResult();
         });
-        return !this->isGone();
+        return !this->isAbandoned();
     }
     void end() override
     {
@@ -61,9 +61,9 @@
             return sink.endRequest().send().ignoreResult();
         });
     }
-    bool isGone() override
+    bool isAbandoned() override
     {
-        return this->call->gone;
+        return this->call->abandoned;
     }
     [[nodiscard]] bool isStarted() const override
     {
@@ -72,12 +72,12 @@
 
 private:
     template<typename Send>
-    void send(const Send &sendOn)
+    void send(const Send &sendTo)
     {
         this->entry.loop.call([&]() -> kj::Promise<void> {
             KJ_IF_MAYBE (sink, this->call->sink) {
-                return sendOn(*sink).catch_([call = this->call](kj::Exception && /*exception*/) {
-                    call->gone = true;
+                return sendTo(*sink).catch_([call = this->call](kj::Exception && /*exception*/) {
+                    call->abandoned = true;
                 });
             }
             return kj::READY_NOW;
@@ -89,16 +89,16 @@
     bool started = false; ///< The head was sent.
 };
 
-void serveForwarded(EntryContext &entry, const std::shared_ptr<ForwardedCall> &call, const CallerRequest &request)
+void serveForwarded(EntryContext &entry, const std::shared_ptr<ForwardedCall> &call, const ClientRequest &request)
 {
     kj::Maybe<kj::Exception> failure;
     try {
-        PeerAnswerWriter answer(entry, call);
-        ProgramService service(entry, answer, request);
+        PeerResponseWriter writer(entry, call);
+        ProgramService service(entry, writer, request);
         const Result<void> checked = service.check();
         if (!checked) {
-            replyError(answer, checked.error());
-        } else if (service.isOwn()) {
+            replyError(writer, checked.error());
+        } else if (service.isLocal()) {
             service.serve();
         } else {
             failure = KJ_EXCEPTION(FAILED, "not_ready: the program has moved");
@@ -128,7 +128,7 @@
     call->sink = context.getParams().getSink();
     auto paf = kj::newPromiseAndFulfiller<void>();
     call->done = kj::mv(paf.fulfiller);
-    CallerRequest request = readRequest(context.getParams().getRequest());
+    ClientRequest request = readRequest(context.getParams().getRequest());
     context.allowCancellation();
     ++this->entry.openRequests;
     const Result<void> started = this->entry.workers.run([&entry = this->entry, call, request = std::move(request)]() {
@@ -139,14 +139,14 @@
         KJ_FAIL_REQUIRE("overloaded: no thread is free");
     }
     return paf.promise.attach(kj::defer([call]() {
-        call->gone = true;
+        call->abandoned = true;
     }));
 }
 
 kj::Promise<void> EntryPeerServer::struck(StruckContext context)
 {
     const auto params = context.getParams();
-    this->entry.quarantine.note(textOf(params.getFingerprint()), EndpointId{textOf(params.getEndpoint())});
+    this->entry.quarantine.addRecentStrike(textOf(params.getFingerprint()), EndpointId{textOf(params.getEndpoint())});
     return kj::READY_NOW;
 }
 
@@ -154,7 +154,7 @@
 {
     const auto params = context.getParams();
     return this->entry.programs
-        .takeResult(ProgramId{textOf(params.getProgram())}, readCall(params.getCall()), params.getCovered())
+        .commitResult(ProgramId{textOf(params.getProgram())}, readCall(params.getCall()), params.getCovered())
         .then([context](Result<void> &&done) mutable {
             if (!done) {
                 writeFailure(context.getResults().initFailure(), done.error());
--- a/src/entry/fleet_follower_base.cpp
+++ b/src/entry/fleet_follower_base.cpp
@@ -12,9 +12,9 @@
 namespace
 {
 
-constexpr Duration PollPeriod = std::chrono::milliseconds(250);
+constexpr Duration PollInterval = std::chrono::milliseconds(250);
 
-void takeDeclaration(FleetView &view, const DeclarationName &name, const std::string &json)
+void applyDeclaration(FleetView &view, const DeclarationName &name, const std::string &json)
 {
     if (name.section == "tenants") {
         if (const auto tenant = parseTenant(name.name, json)) {
@@ -47,7 +47,7 @@
     }
 }
 
-void dropDeclaration(FleetView &view, const DeclarationName &name)
+void removeDeclaration(FleetView &view, const DeclarationName &name)
 {
     view.tenants.erase(name.section == "tenants" ? TenantId{name.name} : TenantId{});
     view.models.erase(name.section == "models" ? ModelId{name.name} : ModelId{});
@@ -58,18 +58,18 @@
 }
 
 /** A key is usable while it is not withdrawn and its tenant is declared. */
-void takeKey(FleetView &view, const KeyId &id, const VersionedTable<KeyId, KeyRecord>::Row &row)
+void applyKey(FleetView &view, const KeyId &id, const VersionedTable<KeyId, KeyRecord>::Row &row)
 {
     const bool usable = !row.removed && !row.record.withdrawn && view.tenants.contains(row.record.tenant);
     if (usable) {
-        view.callers[row.record.hash] = Caller{row.record.tenant, id};
+        view.clients[row.record.hash] = ClientIdentity{row.record.tenant, id};
     } else {
-        view.callers.erase(row.record.hash);
+        view.clients.erase(row.record.hash);
     }
 }
 
 /** Entries and slots are few and are taken whole. */
-void takeLeases(FleetView &view, const FleetState &state)
+void copyLeases(FleetView &view, const FleetState &state)
 {
     view.entries.clear();
     for (const auto &[id, row] : state.entries.all()) {
@@ -84,7 +84,7 @@
 }
 
 /** Strikes expire, so they are few and are taken whole. */
-void takeStrikes(FleetView &view, const FleetState &state)
+void copyStrikes(FleetView &view, const FleetState &state)
 {
     view.strikes.clear();
     for (const auto &[fingerprint, row] : state.strikes.all()) {
@@ -103,14 +103,14 @@
     view->site = parseSite("{}").value();
     for (const auto &[name, row] : state.declarations.all()) {
         if (!row.removed) {
-            takeDeclaration(*view, name, row.record.json);
+            applyDeclaration(*view, name, row.record.json);
         }
     }
     for (const auto &[id, row] : state.keys.all()) {
-        takeKey(*view, id, row);
+        applyKey(*view, id, row);
     }
-    takeLeases(*view, state);
-    takeStrikes(*view, state);
+    copyLeases(*view, state);
+    copyStrikes(*view, state);
     return view;
 }
 
@@ -122,19 +122,19 @@
     state.declarations.forChangesAfter(since, [&](const DeclarationName &name, const auto &row) {
         const bool wasThere = view->tenants.contains(TenantId{name.name});
         if (!row.removed) {
-            takeDeclaration(*view, name, row.record.json);
+            applyDeclaration(*view, name, row.record.json);
         } else if (name.section == "site") {
             view->site = parseSite("{}").value();
         } else {
-            dropDeclaration(*view, name);
+            removeDeclaration(*view, name);
         }
         tenantsCameOrWent = tenantsCameOrWent || wasThere != view->tenants.contains(TenantId{name.name});
     });
     state.keys.forChangesAfter(tenantsCameOrWent ? 0 : since, [&](const KeyId &id, const auto &row) {
-        takeKey(*view, id, row);
+        applyKey(*view, id, row);
     });
-    takeLeases(*view, state);
-    takeStrikes(*view, state);
+    copyLeases(*view, state);
+    copyStrikes(*view, state);
     return view;
 }
 
@@ -142,13 +142,13 @@
     : self(std::move(self))
     , client(client)
     , timers(timers)
-    , reading(kj::READY_NOW)
+    , pendingRead(kj::READY_NOW)
 {
 }
 
 void FleetFollower::start()
 {
-    this->subscription = this->timers.every(PollPeriod, [this]() {
+    this->subscription = this->timers.every(PollInterval, [this]() {
         this->poll();
     });
     this->poll();
@@ -157,7 +157,7 @@
 void FleetFollower::stop()
 {
     this->subscription.cancel();
-    this->reading = kj::READY_NOW;
+    this->pendingRead = kj::READY_NOW;
 }
 
 void FleetFollower::drain()
@@ -182,26 +182,27 @@
         return;
     }
     const EntryRecord *own = this->state.entries.find(this->self.id);
-    const bool ordered = own != nullptr && own->state == EntryState::Draining && this->self.state == EntryState::Live;
-    if (ordered && this->onDrainOrdered) {
-        this->onDrainOrdered(); // Ends in another poll, which reads.
+    const bool drainRequested =
+        own != nullptr && own->state == EntryState::Draining && this->self.state == EntryState::Live;
+    if (drainRequested && this->onDrainRequested) {
+        this->onDrainRequested(); // Ends in another poll, which reads.
         return;
     }
     this->busy = true;
     const Instant sentAt = this->timers.now();
-    this->reading = this->client.sync(this->self, this->state.index(), this->state.revision().value)
-                        .then(
-                            [this, sentAt](SyncResponse &&response) {
-                                this->busy = false;
-                                this->take(response, sentAt);
-                            },
-                            [this](kj::Exception && /*exception*/) {
-                                this->busy = false; // The client has turned to another member.
-                            })
-                        .eagerlyEvaluate(nullptr);
+    this->pendingRead = this->client.sync(this->self, this->state.index(), this->state.revision().value)
+                            .then(
+                                [this, sentAt](SyncResponse &&response) {
+                                    this->busy = false;
+                                    this->handleResponse(response, sentAt);
+                                },
+                                [this](kj::Exception && /*exception*/) {
+                                    this->busy = false; // The client has turned to another member.
+                                })
+                            .eagerlyEvaluate(nullptr);
 }
 
-void FleetFollower::take(const SyncResponse &response, Instant sentAt)
+void FleetFollower::handleResponse(const SyncResponse &response, Instant sentAt)
 {
     const auto result = response.getResult().getDelta();
     const std::uint64_t before = this->state.index();
@@ -225,7 +226,7 @@
     if (changed) {
         this->publish(result.getDelta().getWhole() ? 0 : before);
     }
-    this->views.setFreshUntil(sentAt + FreshnessBound);
+    this->views.setFreshUntil(sentAt + MaxViewAge);
     if (changed && this->onChange) {
         this->onChange();
     }
--- a/src/entry/fleet_follower_base.h
+++ b/src/entry/fleet_follower_base.h
@@ -36,7 +36,7 @@
     std::function<void()> onChange;
 
     /** Called at a poll once an operator has set this entry to draining; it calls `drain`. May be empty. */
-    std::function<void()> onDrainOrdered;
+    std::function<void()> onDrainRequested;
 
     /** Whether the view is recent enough to admit requests. */
     [[nodiscard]] bool isFresh() const;
@@ -47,13 +47,13 @@
 
 private:
     void poll();
-    void take(const SyncResponse &response, Instant sentAt);
+    void handleResponse(const SyncResponse &response, Instant sentAt);
     void publish(std::uint64_t since);
 
     ControlClient &client; ///< Outlives this.
     TimerService &timers; ///< Outlives this.
     TimerSubscription subscription; ///< The periodic read.
-    kj::Promise<void> reading; ///< The read under way.
+    kj::Promise<void> pendingRead; ///< The read under way.
     bool busy = false; ///< A read is under way; at most one is.
     bool wasFresh = false; ///< To tell changes of freshness.
 };
--- a/src/entry/fleet_view_type.h
+++ b/src/entry/fleet_view_type.h
@@ -18,7 +18,7 @@
 {
 
 /** A caller, as its key tells. */
-struct Caller
+struct ClientIdentity
 {
     TenantId tenant; ///< For whom requests run.
     KeyId key; ///< Which key came.
@@ -35,7 +35,8 @@
 struct FleetView
 {
     Revision revision; ///< Of the declarations.
-    std::unordered_map<std::string, Caller> callers; ///< By raw SHA-256 of the key; withdrawn keys are not in it.
+    std::unordered_map<std::string, ClientIdentity>
+        clients; ///< By raw SHA-256 of the key; withdrawn keys are not in it.
     std::unordered_map<TenantId, TenantDeclaration> tenants; ///< Declared tenants.
     std::unordered_map<ModelId, ModelDeclaration> models; ///< Declared models.
     std::unordered_map<ServiceId, ServiceDeclaration> services; ///< Declared services.
@@ -49,7 +50,7 @@
 };
 
 /** Past this age, from when a confirmed read was sent, nothing is admitted. */
-constexpr Duration FreshnessBound = std::chrono::milliseconds(3000);
+constexpr Duration MaxViewAge = std::chrono::milliseconds(3000);
 
 /** The current view; read by traffic threads, written by the control thread. */
 class FleetViewHolder
@@ -70,12 +71,12 @@
         return now.us < this->freshUntilUs.load();
     }
     /** Whether the view was read by a request that was sent after @p time. */
-    [[nodiscard]] bool isReadAfter(Instant time) const
+    [[nodiscard]] bool wasReadAfter(Instant time) const
     {
-        return (time + FreshnessBound).us < this->freshUntilUs.load();
+        return (time + MaxViewAge).us < this->freshUntilUs.load();
     }
     /** Until when the view may be relied on. */
-    [[nodiscard]] Instant relyUntil() const
+    [[nodiscard]] Instant freshUntil() const
     {
         return Instant(this->freshUntilUs.load());
     }
--- a/src/entry/http_reply_func.cpp
+++ b/src/entry/http_reply_func.cpp
@@ -21,7 +21,7 @@
         + (call.failure ? "," + errorJson(*call.failure).substr(1) : "}");
 }
 
-std::string finishOf(const CallRecord &call)
+std::string finishReasonJson(const CallRecord &call)
 {
     return jsonQuoted(call.finishReason.empty() ? "stop" : call.finishReason);
 }
@@ -33,7 +33,7 @@
         + std::to_string(call.tokens - prompt) + R"(,"total_tokens":)" + std::to_string(call.tokens) + "}";
 }
 
-std::string headOf(const AttemptId &attempt, const std::string &object, const std::string &model)
+std::string completionPrefix(const AttemptId &attempt, const std::string &object, const std::string &model)
 {
     return R"({"id":)" + jsonQuoted("chatcmpl-" + attempt.text) + R"(,"object":")" + object
         + R"(","created":0,"model":)" + jsonQuoted(model);
@@ -64,21 +64,21 @@
 
 std::string completionJson(const CallRecord &call, const std::string &model)
 {
-    return headOf(call.attempt, "chat.completion", model)
+    return completionPrefix(call.attempt, "chat.completion", model)
         + R"(,"choices":[{"index":0,"message":{"role":"assistant","content":)" + jsonQuoted(call.answer)
-        + R"(},"finish_reason":)" + finishOf(call) + "}]," + usageJson(call) + "}";
+        + R"(},"finish_reason":)" + finishReasonJson(call) + "}]," + usageJson(call) + "}";
 }
 
 std::string chunkEvent(const AttemptId &attempt, const std::string &model, std::string_view text)
 {
-    return "data: " + headOf(attempt, "chat.completion.chunk", model) + R"(,"choices":[{"index":0,"delta":{"content":)"
-        + jsonQuoted(text) + R"(},"finish_reason":null}]})" + "\n\n";
+    return "data: " + completionPrefix(attempt, "chat.completion.chunk", model)
+        + R"(,"choices":[{"index":0,"delta":{"content":)" + jsonQuoted(text) + R"(},"finish_reason":null}]})" + "\n\n";
 }
 
-std::string lastEvents(const CallRecord &call, const std::string &model)
+std::string finalEvents(const CallRecord &call, const std::string &model)
 {
-    return "data: " + headOf(call.attempt, "chat.completion.chunk", model)
-        + R"(,"choices":[{"index":0,"delta":{},"finish_reason":)" + finishOf(call) + "}]," + usageJson(call)
+    return "data: " + completionPrefix(call.attempt, "chat.completion.chunk", model)
+        + R"(,"choices":[{"index":0,"delta":{},"finish_reason":)" + finishReasonJson(call) + "}]," + usageJson(call)
         + "}\n\ndata: [DONE]\n\n";
 }
 
--- a/src/entry/http_reply_func.h
+++ b/src/entry/http_reply_func.h
@@ -20,6 +20,6 @@
 
 /** One event of a streamed chat completion; @p last ends it. */
 [[nodiscard]] std::string chunkEvent(const AttemptId &attempt, const std::string &model, std::string_view text);
-[[nodiscard]] std::string lastEvents(const CallRecord &call, const std::string &model);
+[[nodiscard]] std::string finalEvents(const CallRecord &call, const std::string &model);
 
 } // namespace Chestnuthook
--- a/src/entry/http_server_base.cpp
+++ b/src/entry/http_server_base.cpp
@@ -24,11 +24,11 @@
 {
 }
 
-Result<void> EntryServer::start(const std::string &address, const CallerSettings &callers)
+Result<void> EntryServer::start(const std::string &address, const ClientPortSettings &clientPort)
 {
-    auto port = std::make_shared<CallerPort>(callers.limits);
-    if (!callers.tlsCertificate.empty()) {
-        port->certificate = std::make_unique<TlsCertificate>(callers.tlsCertificate, callers.tlsKey);
+    auto port = std::make_shared<ClientPort>(clientPort.limits);
+    if (!clientPort.tlsCertificate.empty()) {
+        port->certificate = std::make_unique<TlsCertificate>(clientPort.tlsCertificate, clientPort.tlsKey);
         Result<void> loaded = port->certificate->load();
         if (!loaded) {
             return loaded;
@@ -36,15 +36,15 @@
     }
     try {
         Poco::Net::HTTPServerParams::Ptr params(new Poco::Net::HTTPServerParams);
-        params->setMaxThreads(callers.limits.connections);
+        params->setMaxThreads(clientPort.limits.maxConnections);
         params->setMaxQueued(Backlog);
         params->setTimeout(Poco::Timespan(IdleSeconds, 0));
         params->setKeepAlive(true);
         this->threads =
-            std::make_unique<Poco::ThreadPool>(2, callers.limits.connections, IdleSeconds, ThreadStackBytes);
+            std::make_unique<Poco::ThreadPool>(2, clientPort.limits.maxConnections, IdleSeconds, ThreadStackBytes);
         this->server = std::make_unique<Poco::Net::HTTPServer>(
-            new RequestHandlerFactory(this->context), *this->threads, listenForCallers(port, address), params);
-        this->server->setConnectionFilter(connectionFilter());
+            new RequestHandlerFactory(this->context), *this->threads, listenForClients(port, address), params);
+        this->server->setConnectionFilter(makeConnectionFilter());
         this->server->start();
     } catch (const Poco::Exception &exception) {
         return fail(ErrorKind::AddressInUse, address + ": " + exception.displayText());
--- a/src/entry/http_server_base.h
+++ b/src/entry/http_server_base.h
@@ -14,7 +14,7 @@
 {
 
 /** Settings of the callers' port. */
-struct CallerSettings
+struct ClientPortSettings
 {
     RequestLimits limits; ///< What one caller may make the entry hold.
     std::string tlsCertificate; ///< PEM file; empty where callers connect without TLS.
@@ -28,7 +28,7 @@
     explicit EntryServer(EntryContext &context);
 
     /** Binds @p address. Errors: AddressInUse, BadSetting for a certificate that can't be used. */
-    Result<void> start(const std::string &address, const CallerSettings &callers);
+    Result<void> start(const std::string &address, const ClientPortSettings &clientPort);
 
     /** Ends open connections and joins the threads. Not for the control thread, on which they may wait. */
     void stop();
--- a/src/entry/limited_socket_base.cpp
+++ b/src/entry/limited_socket_base.cpp
@@ -24,47 +24,47 @@
 {
 
 constexpr int Backlog = 512;
-constexpr std::int64_t RetryAfterMs = 1000;
-constexpr std::size_t DiscardChunk = 8UL * 1024;
-constexpr std::size_t MaxDiscarded = 256UL * 1024;
-constexpr std::string_view InterimAnswer = "HTTP/1.1 100";
+constexpr std::int64_t OverloadedRetryAfterMs = 1000;
+constexpr std::size_t DiscardChunkBytes = 8UL * 1024;
+constexpr std::size_t MaxDiscardedBytes = 256UL * 1024;
+constexpr std::string_view InterimResponsePrefix = "HTTP/1.1 100";
 
-Instant clockNow()
+Instant steadyNow()
 {
     const auto now = std::chrono::steady_clock::now().time_since_epoch();
     return Instant(std::chrono::duration_cast<Duration>(now).count());
 }
 
-std::string rawAnswer(std::string_view statusLine, const Error &error)
+std::string rawResponse(std::string_view statusLine, const Error &error)
 {
     const std::string body = errorJson(error);
-    std::string answer = "HTTP/1.1 " + std::string(statusLine) + "\r\nContent-Type: application/json\r\n";
+    std::string response = "HTTP/1.1 " + std::string(statusLine) + "\r\nContent-Type: application/json\r\n";
     if (error.retryAfterMs > 0) {
-        answer += "Retry-After: " + std::to_string((error.retryAfterMs + 999) / 1000) + "\r\n";
+        response += "Retry-After: " + std::to_string((error.retryAfterMs + 999) / 1000) + "\r\n";
     }
-    return answer + "Connection: close\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
+    return response + "Connection: close\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 
-std::string answerTo(LimitVerdict verdict, const RequestLimits &limits)
+std::string limitResponse(LimitVerdict verdict, const RequestLimits &limits)
 {
     if (verdict == LimitVerdict::HeaderTooLarge) {
-        return rawAnswer("431 Request Header Fields Too Large",
-            Error{ErrorKind::BadRequest, "the header is over " + std::to_string(limits.headerBytes) + " bytes", Ran::No,
-                0});
+        return rawResponse("431 Request Header Fields Too Large",
+            Error{ErrorKind::BadRequest, "the header is over " + std::to_string(limits.maxHeaderBytes) + " bytes",
+                Ran::No, 0});
     }
     if (verdict == LimitVerdict::RequestTooLarge) {
-        return rawAnswer("413 Content Too Large", Error{ErrorKind::BodyTooLarge, "", Ran::No, 0});
+        return rawResponse("413 Content Too Large", Error{ErrorKind::BodyTooLarge, "", Ran::No, 0});
     }
-    const auto seconds = std::chrono::duration_cast<std::chrono::seconds>(limits.sendTime).count();
-    return rawAnswer("408 Request Timeout",
+    const auto seconds = std::chrono::duration_cast<std::chrono::seconds>(limits.sendTimeout).count();
+    return rawResponse("408 Request Timeout",
         Error{ErrorKind::BadRequest, "it did not come whole within " + std::to_string(seconds) + " s", Ran::No, 0});
 }
 
 /** Takes in what has come: closing with unread input would reset the connection before the caller read the answer. */
 void discardInput(int descriptor)
 {
-    std::array<char, DiscardChunk> chunk{};
-    for (std::size_t left = MaxDiscarded; left >= chunk.size(); left -= chunk.size()) {
+    std::array<char, DiscardChunkBytes> chunk{};
+    for (std::size_t remaining = MaxDiscardedBytes; remaining >= chunk.size(); remaining -= chunk.size()) {
         if (::recv(descriptor, chunk.data(), chunk.size(), MSG_DONTWAIT) <= 0) {
             return;
         }
@@ -75,10 +75,10 @@
 class CountedConnection
 {
 public:
-    CountedConnection(std::shared_ptr<CallerPort> port, std::string address)
+    CountedConnection(std::shared_ptr<ClientPort> port, std::string address)
         : port(std::move(port))
         , address(std::move(address))
-        , within(this->port->counts.add(this->address))
+        , withinLimits(this->port->counts.add(this->address))
     {
     }
     virtual ~CountedConnection()
@@ -88,17 +88,17 @@
     CountedConnection(const CountedConnection &) = delete;
     CountedConnection &operator=(const CountedConnection &) = delete;
 
-    [[nodiscard]] bool isWithin() const
+    [[nodiscard]] bool isWithinLimits() const
     {
-        return this->within;
+        return this->withinLimits;
     }
 
 protected:
-    const std::shared_ptr<CallerPort> port; ///< Outlives the connection.
+    const std::shared_ptr<ClientPort> port; ///< Outlives the connection.
 
 private:
     const std::string address; ///< The caller's, without port.
-    const bool within; ///< Whether it was not one too many.
+    const bool withinLimits; ///< Whether it was not one too many.
 };
 
 /** Measures the requests on a POCO socket; @p Base is a plain or a secure stream socket. */
@@ -107,7 +107,7 @@
 {
 public:
     template<typename... Arguments>
-    LimitedSocket(std::shared_ptr<CallerPort> port, std::string address, Arguments &&...arguments)
+    LimitedSocket(std::shared_ptr<ClientPort> port, std::string address, Arguments &&...arguments)
         : Base(std::forward<Arguments>(arguments)...)
         , CountedConnection(std::move(port), std::move(address))
         , meter(this->CountedConnection::port->limits)
@@ -122,56 +122,56 @@
 
     int receiveBytes(void *buffer, int length, int flags) override
     {
-        if ((flags & MSG_PEEK) != 0 || !this->meter.underWay()) {
+        if ((flags & MSG_PEEK) != 0 || !this->meter.isInProgress()) {
             const int received = Base::receiveBytes(buffer, length, flags);
-            return (flags & MSG_PEEK) != 0 ? received : this->measured(buffer, received);
+            return (flags & MSG_PEEK) != 0 ? received : this->measure(buffer, received);
         }
         const Poco::Timespan idle = this->getReceiveTimeout();
-        const Duration left = this->meter.timeLeft(clockNow());
-        this->setReceiveTimeout(Poco::Timespan(std::max<Poco::Timespan::TimeDiff>(left.count(), 1)));
+        const Duration remaining = this->meter.remainingTime(steadyNow());
+        this->setReceiveTimeout(Poco::Timespan(std::max<Poco::Timespan::TimeDiff>(remaining.count(), 1)));
         try {
             const int received = Base::receiveBytes(buffer, length, flags);
             this->setReceiveTimeout(idle);
-            return this->measured(buffer, received);
+            return this->measure(buffer, received);
         } catch (const Poco::TimeoutException &) {
-            this->refuse(LimitVerdict::TooSlow);
+            this->reject(LimitVerdict::TooSlow);
         }
         return 0;
     }
 
     int sendBytes(const void *buffer, int length, int flags) override
     {
-        if (this->refused) {
+        if (this->rejected) {
             throw Poco::Net::ConnectionAbortedException("the request was refused");
         }
         if (!std::string_view(static_cast<const char *>(buffer), static_cast<std::size_t>(length))
-                 .starts_with(InterimAnswer)) {
-            this->meter.answered();
+                 .starts_with(InterimResponsePrefix)) {
+            this->meter.onResponse();
         }
         return Base::sendBytes(buffer, length, flags);
     }
 
 private:
-    int measured(const void *buffer, int received)
+    int measure(const void *buffer, int received)
     {
         if (received > 0) {
             const std::string_view bytes(static_cast<const char *>(buffer), static_cast<std::size_t>(received));
-            const LimitVerdict verdict = this->meter.take(bytes, clockNow());
-            if (verdict != LimitVerdict::Within) {
-                this->refuse(verdict);
+            const LimitVerdict verdict = this->meter.consume(bytes, steadyNow());
+            if (verdict != LimitVerdict::WithinLimits) {
+                this->reject(verdict);
             }
         }
         return received;
     }
 
     /** Answers, and ends what the request's handler may still do with the connection. */
-    [[noreturn]] void refuse(LimitVerdict verdict)
+    [[noreturn]] void reject(LimitVerdict verdict)
     {
-        if (!this->refused) {
-            this->refused = true;
+        if (!this->rejected) {
+            this->rejected = true;
             logEvent(EventKind::RequestRejected, {{"error", "over a request limit"}});
-            const std::string answer = answerTo(verdict, this->CountedConnection::port->limits);
-            Base::sendBytes(answer.data(), static_cast<int>(answer.size()), 0);
+            const std::string response = limitResponse(verdict, this->CountedConnection::port->limits);
+            Base::sendBytes(response.data(), static_cast<int>(response.size()), 0);
             this->shutdownSend();
             discardInput(this->sockfd());
         }
@@ -179,13 +179,13 @@
     }
 
     RequestMeter meter; ///< Of the request under way.
-    bool refused = false; ///< An answer of ours was sent; nothing follows it.
+    bool rejected = false; ///< An answer of ours was sent; nothing follows it.
 };
 
-class CallerServerSocket final : public Poco::Net::ServerSocketImpl
+class LimitedServerSocketImpl final : public Poco::Net::ServerSocketImpl
 {
 public:
-    explicit CallerServerSocket(std::shared_ptr<CallerPort> port)
+    explicit LimitedServerSocketImpl(std::shared_ptr<ClientPort> port)
         : port(std::move(port))
     {
     }
@@ -209,33 +209,34 @@
     }
 
 private:
-    const std::shared_ptr<CallerPort> port; ///< Shared with the connections.
+    const std::shared_ptr<ClientPort> port; ///< Shared with the connections.
 };
 
 /** A server socket over an implementation of ours. */
-class CallerSocket final : public Poco::Net::ServerSocket
+class LimitedServerSocket final : public Poco::Net::ServerSocket
 {
 public:
-    explicit CallerSocket(const std::shared_ptr<CallerPort> &port)
-        : ServerSocket(new CallerServerSocket(port), true)
+    explicit LimitedServerSocket(const std::shared_ptr<ClientPort> &port)
+        : ServerSocket(new LimitedServerSocketImpl(port), true)
     {
     }
 };
 
-class CountFilter final : public Poco::Net::TCPServerConnectionFilter
+class ConnectionCountFilter final : public Poco::Net::TCPServerConnectionFilter
 {
 public:
     bool accept(const Poco::Net::StreamSocket &socket) override
     {
         const auto *counted = dynamic_cast<const CountedConnection *>(socket.impl());
-        if (counted == nullptr || counted->isWithin()) {
+        if (counted == nullptr || counted->isWithinLimits()) {
             return true;
         }
         logEvent(EventKind::RequestRejected, {{"error", "too many connections"}});
         if (!socket.secure()) {
-            const std::string answer = rawAnswer("503 Service Unavailable",
-                Error{ErrorKind::Overloaded, "too many connections from this address", Ran::No, RetryAfterMs});
-            ::send(socket.impl()->sockfd(), answer.data(), answer.size(), MSG_DONTWAIT | MSG_NOSIGNAL);
+            const std::string response = rawResponse("503 Service Unavailable",
+                Error{
+                    ErrorKind::Overloaded, "too many connections from this address", Ran::No, OverloadedRetryAfterMs});
+            ::send(socket.impl()->sockfd(), response.data(), response.size(), MSG_DONTWAIT | MSG_NOSIGNAL);
         }
         return false;
     }
@@ -246,9 +247,9 @@
 bool ConnectionCounts::add(const std::string &address)
 {
     const std::scoped_lock lock(this->mutex);
-    const int own = ++this->byAddress[address];
+    const int fromAddress = ++this->byAddress[address];
     this->total += 1;
-    return own <= this->limits.connectionsPerCaller && this->total <= this->limits.connections;
+    return fromAddress <= this->limits.maxConnectionsPerAddress && this->total <= this->limits.maxConnections;
 }
 
 void ConnectionCounts::remove(const std::string &address)
@@ -261,17 +262,17 @@
     }
 }
 
-Poco::Net::ServerSocket listenForCallers(const std::shared_ptr<CallerPort> &port, const std::string &address)
+Poco::Net::ServerSocket listenForClients(const std::shared_ptr<ClientPort> &port, const std::string &address)
 {
-    CallerSocket socket(port);
+    LimitedServerSocket socket(port);
     socket.bind(Poco::Net::SocketAddress(address), true);
     socket.listen(Backlog);
     return socket;
 }
 
-Poco::Net::TCPServerConnectionFilter::Ptr connectionFilter()
+Poco::Net::TCPServerConnectionFilter::Ptr makeConnectionFilter()
 {
-    return new CountFilter;
+    return new ConnectionCountFilter;
 }
 
 } // namespace Chestnuthook
--- a/src/entry/limited_socket_base.h
+++ b/src/entry/limited_socket_base.h
@@ -38,9 +38,9 @@
 };
 
 /** What the callers' port needs; shared with its connections. */
-struct CallerPort
+struct ClientPort
 {
-    explicit CallerPort(const RequestLimits &limits)
+    explicit ClientPort(const RequestLimits &limits)
         : limits(limits)
         , counts(limits)
     {
@@ -52,10 +52,10 @@
 };
 
 /** Binds @p address. @throws Poco::Exception where that fails. */
-[[nodiscard]] Poco::Net::ServerSocket listenForCallers(
-    const std::shared_ptr<CallerPort> &port, const std::string &address);
+[[nodiscard]] Poco::Net::ServerSocket listenForClients(
+    const std::shared_ptr<ClientPort> &port, const std::string &address);
 
 /** Turns away connections that are too many; for Poco::Net::TCPServer. */
-[[nodiscard]] Poco::Net::TCPServerConnectionFilter::Ptr connectionFilter();
+[[nodiscard]] Poco::Net::TCPServerConnectionFilter::Ptr makeConnectionFilter();
 
 } // namespace Chestnuthook
--- a/src/entry/main.cpp
+++ b/src/entry/main.cpp
@@ -62,12 +62,12 @@
     settings.id = EntryId{FLAGS_entry + "." + randomHex(4)};
     settings.dataCentre = DataCentreId{FLAGS_data_centre};
     settings.secret = std::move(secret);
-    settings.callers.tlsCertificate = FLAGS_tls_certificate;
-    settings.callers.tlsKey = FLAGS_tls_key;
-    settings.callers.limits.connections = static_cast<int>(FLAGS_max_connections);
-    settings.callers.limits.connectionsPerCaller = static_cast<int>(FLAGS_max_connections_per_caller);
-    settings.callers.limits.headerBytes = static_cast<std::size_t>(FLAGS_max_header_bytes);
-    settings.callers.limits.sendTime = std::chrono::milliseconds(FLAGS_request_send_ms);
+    settings.clientPort.tlsCertificate = FLAGS_tls_certificate;
+    settings.clientPort.tlsKey = FLAGS_tls_key;
+    settings.clientPort.limits.maxConnections = static_cast<int>(FLAGS_max_connections);
+    settings.clientPort.limits.maxConnectionsPerAddress = static_cast<int>(FLAGS_max_connections_per_caller);
+    settings.clientPort.limits.maxHeaderBytes = static_cast<std::size_t>(FLAGS_max_header_bytes);
+    settings.clientPort.limits.sendTimeout = std::chrono::milliseconds(FLAGS_request_send_ms);
     return settings;
 }
 
--- a/src/entry/permit_broker_base.cpp
+++ b/src/entry/permit_broker_base.cpp
@@ -14,21 +14,21 @@
 {
 
 /** Bound of the wait for a permit where the demand names none. */
-constexpr std::int64_t DefaultWaitMs = 30'000;
+constexpr std::int64_t DefaultMaxWaitMs = 30'000;
 
 /** How often tickets are looked through for deadlines, lost endpoints and changed dispatchers. */
-constexpr Duration TickPeriod = std::chrono::milliseconds(200);
+constexpr Duration TickInterval = std::chrono::milliseconds(200);
 
 /** Tokens expected of an answer whose bound is not named. */
-constexpr double UsualOutputTokens = 120;
+constexpr double DefaultOutputTokens = 120;
 
 /** When a caller is told to come back after it waited in vain. */
-constexpr std::int64_t OverloadedRetryMs = 2000;
+constexpr std::int64_t OverloadedRetryAfterMs = 2000;
 
 /** Tokens of queue that a token of prefill outweighs, so that programs stay where their cache is. */
 constexpr double CacheWeight = 16;
 
-EndpointSign signOf(const AttemptOutcome &outcome)
+EndpointSign healthSignalOf(const AttemptOutcome &outcome)
 {
     if (outcome.complete) {
         return EndpointSign::Answered;
@@ -42,41 +42,44 @@
     : loop(loop)
     , follower(follower)
     , peers(peers)
-    , latest(std::make_shared<const EndpointList>())
-    , list(std::make_shared<const EndpointList>())
+    , platformList(std::make_shared<const EndpointList>())
+    , endpointList(std::make_shared<const EndpointList>())
 {
 }
 
-const ListedEndpoint *PermitBroker::listed(const EndpointId &endpoint) const
+const ListedEndpoint *PermitBroker::findListed(const EndpointId &endpoint) const
 {
-    const auto found = std::find_if(this->list->begin(), this->list->end(), [&](const ListedEndpoint &one) {
-        return one.id == endpoint && !one.leaving;
-    });
-    return found == this->list->end() ? nullptr : &*found;
+    const auto found =
+        std::find_if(this->endpointList->begin(), this->endpointList->end(), [&](const ListedEndpoint &one) {
+            return one.id == endpoint && !one.leaving;
+        });
+    return found == this->endpointList->end() ? nullptr : &*found;
 }
 
-EntryId PermitBroker::dispatcher(const EndpointId &endpoint) const
+EntryId PermitBroker::dispatcherFor(const EndpointId &endpoint) const
 {
     const auto view = this->follower.views.get();
-    const auto found = std::find_if(this->list->begin(), this->list->end(), [&](const ListedEndpoint &one) {
-        return one.id == endpoint;
-    });
-    const DataCentreId dataCentre = found == this->list->end() ? DataCentreId{} : found->dataCentre;
+    const auto found =
+        std::find_if(this->endpointList->begin(), this->endpointList->end(), [&](const ListedEndpoint &one) {
+            return one.id == endpoint;
+        });
+    const DataCentreId dataCentre = found == this->endpointList->end() ? DataCentreId{} : found->dataCentre;
     return view == nullptr ? EntryId{} : dispatcherOf(endpoint, dataCentre, view->entries);
 }
 
-std::size_t PermitBroker::liveEntries() const
+std::size_t PermitBroker::liveEntryCount() const
 {
     const auto view = this->follower.views.get();
     return view == nullptr ? 1 : std::max<std::size_t>(1, view->entries.size());
 }
 
-std::vector<const ListedEndpoint *> PermitBroker::fitting(const DispatchDemand &demand, Instant now) const
+std::vector<const ListedEndpoint *> PermitBroker::eligibleEndpoints(const DispatchRequest &request, Instant now) const
 {
     std::vector<const ListedEndpoint *> all;
-    for (const ListedEndpoint &endpoint : *this->list) {
-        const bool avoided = std::find(demand.avoid.begin(), demand.avoid.end(), endpoint.id) != demand.avoid.end();
-        if (endpoint.kind == demand.kind && endpoint.name == demand.name && !endpoint.leaving && !avoided) {
+    for (const ListedEndpoint &endpoint : *this->endpointList) {
+        const bool avoided =
+            std::find(request.excluded.begin(), request.excluded.end(), endpoint.id) != request.excluded.end();
+        if (endpoint.kind == request.kind && endpoint.name == request.name && !endpoint.leaving && !avoided) {
             all.push_back(&endpoint);
         }
     }
@@ -91,7 +94,7 @@
 {
     EndpointEstimate estimate;
     estimate.cachedTokens = this->prefixes.cached(endpoint, program);
-    if (this->dispatcher(endpoint) == this->follower.self.id) {
+    if (this->dispatcherFor(endpoint) == this->follower.self.id) {
         estimate.inFlight = this->ledger.load(endpoint);
         estimate.backlogTokens = this->ledger.backlog(endpoint);
         return estimate;
@@ -104,174 +107,177 @@
     return estimate;
 }
 
-WaitingCall PermitBroker::callOf(const Ticket &ticket) const
+WaitingCall PermitBroker::waitingCallFor(const LocalPermit &localPermit) const
 {
     WaitingCall call;
-    call.tenant = ticket.demand.tenant;
-    call.attainedTokens = static_cast<double>(ticket.demand.attainedTokens);
-    const double output = std::min(UsualOutputTokens,
-        ticket.demand.maxTokens == 0 ? UsualOutputTokens : static_cast<double>(ticket.demand.maxTokens));
-    call.expectedTokens = ticket.uncachedTokens * PrefillCost + output;
-    call.arrived = ticket.askedAt;
-    call.isolated = ticket.demand.isolated;
+    call.tenant = localPermit.request.tenant;
+    call.attainedTokens = static_cast<double>(localPermit.request.attainedTokens);
+    const double output = std::min(DefaultOutputTokens,
+        localPermit.request.maxTokens == 0 ? DefaultOutputTokens : static_cast<double>(localPermit.request.maxTokens));
+    call.expectedTokens = localPermit.uncachedTokens * PrefillCost + output;
+    call.arrived = localPermit.requestedAt;
+    call.isolated = localPermit.request.isolated;
     return call;
 }
 
-kj::Promise<kj::Own<PermitVerdict>> PermitBroker::acquire(const DispatchDemand &demand)
+kj::Promise<kj::Own<PermitResult>> PermitBroker::acquire(const DispatchRequest &request)
 {
     const Instant now = this->loop.timers().now();
-    this->list = this->latest.load();
-    if (!this->ticking.active()) {
-        this->ticking = this->loop.timers().every(TickPeriod, [this]() {
+    this->endpointList = this->platformList.load();
+    if (!this->tickTimer.active()) {
+        this->tickTimer = this->loop.timers().every(TickInterval, [this]() {
             this->tick();
         });
     }
-    auto paf = kj::newPromiseAndFulfiller<kj::Own<PermitVerdict>>();
+    auto paf = kj::newPromiseAndFulfiller<kj::Own<PermitResult>>();
     const std::uint64_t id = ++this->lastPermit;
-    Ticket &ticket = this->tickets[id];
-    ticket.demand = demand;
-    ticket.askedAt = now;
-    ticket.deadline = now + std::chrono::milliseconds(demand.deadlineMs > 0 ? demand.deadlineMs : DefaultWaitMs);
-    ticket.fulfiller = kj::mv(paf.fulfiller);
-    if (!this->place(id, ticket, now) && !this->list->empty()) { // Before the first list came, calls wait for it.
-        this->refuse(id, ErrorKind::NoEndpoint, demand.name);
+    LocalPermit &localPermit = this->localPermits[id];
+    localPermit.request = request;
+    localPermit.requestedAt = now;
+    localPermit.deadline =
+        now + std::chrono::milliseconds(request.deadlineMs > 0 ? request.deadlineMs : DefaultMaxWaitMs);
+    localPermit.fulfiller = kj::mv(paf.fulfiller);
+    if (!this->selectEndpoint(id, localPermit, now)
+        && !this->endpointList->empty()) { // Before the first list came, calls wait for it.
+        this->reject(id, ErrorKind::NoEndpoint, request.name);
     }
     return kj::mv(paf.promise);
 }
 
-bool PermitBroker::place(std::uint64_t id, Ticket &ticket, Instant now)
+bool PermitBroker::selectEndpoint(std::uint64_t id, LocalPermit &localPermit, Instant now)
 {
-    const auto candidates = this->fitting(ticket.demand, now);
+    const auto candidates = this->eligibleEndpoints(localPermit.request, now);
     if (candidates.empty()) {
         return false;
     }
     std::vector<EndpointEstimate> estimates;
     estimates.reserve(candidates.size());
     for (const ListedEndpoint *candidate : candidates) {
-        estimates.push_back(this->estimate(candidate->id, ticket.demand.program));
+        estimates.push_back(this->estimate(candidate->id, localPermit.request.program));
     }
-    const auto prompt = static_cast<double>(ticket.demand.promptTokens);
+    const auto prompt = static_cast<double>(localPermit.request.promptTokens);
     const PredictedCompletion rule{CacheWeight};
-    const std::size_t chosen = rule.choose(estimates, {prompt, UsualOutputTokens}, this->choiceState);
-    ticket.endpoint = candidates[chosen]->id;
-    ticket.uncachedTokens = std::max(0.0, prompt - estimates[chosen].cachedTokens);
-    this->health.onChosen(ticket.endpoint, now);
-    this->ask(id, ticket);
+    const std::size_t chosen = rule.choose(estimates, {prompt, DefaultOutputTokens}, this->selectionState);
+    localPermit.endpoint = candidates[chosen]->id;
+    localPermit.uncachedTokens = std::max(0.0, prompt - estimates[chosen].cachedTokens);
+    this->health.onChosen(localPermit.endpoint, now);
+    this->requestPermit(id, localPermit);
     return true;
 }
 
-void PermitBroker::ask(std::uint64_t id, Ticket &ticket)
+void PermitBroker::requestPermit(std::uint64_t id, LocalPermit &localPermit)
 {
-    const EntryId entry = this->dispatcher(ticket.endpoint);
-    ticket.toldTo = entry;
-    ticket.told = false;
+    const EntryId entry = this->dispatcherFor(localPermit.endpoint);
+    localPermit.requestedFrom = entry;
+    localPermit.acknowledged = false;
     if (entry == this->follower.self.id) {
-        this->askHere(id, ticket);
+        this->requestLocally(id, localPermit);
         return;
     }
-    RemoteLoad &load = this->remoteLoads[ticket.endpoint];
+    RemoteLoad &load = this->remoteLoads[localPermit.endpoint];
     load.inFlight += 1;
-    load.backlog += this->callOf(ticket).expectedTokens;
-    this->outboxes[entry].asks.push_back(id);
-    this->schedule(entry);
+    load.backlog += this->waitingCallFor(localPermit).expectedTokens;
+    this->outboxes[entry].requests.push_back(id);
+    this->scheduleSend(entry);
 }
 
-void PermitBroker::askHere(std::uint64_t id, Ticket &ticket)
+void PermitBroker::requestLocally(std::uint64_t id, LocalPermit &localPermit)
 {
     const PermitKey key{this->follower.self.id, id};
-    ticket.told = true;
-    const ListedEndpoint *endpoint = this->listed(ticket.endpoint);
-    this->ledger.setBound(ticket.endpoint, inFlightBound(endpoint == nullptr ? ticket.demand.kind : endpoint->kind));
-    if (ticket.running) {
-        this->ledger.adopt(ticket.endpoint, key, this->callOf(ticket));
+    localPermit.acknowledged = true;
+    const ListedEndpoint *endpoint = this->findListed(localPermit.endpoint);
+    this->ledger.setBound(
+        localPermit.endpoint, inFlightBound(endpoint == nullptr ? localPermit.request.kind : endpoint->kind));
+    if (localPermit.running) {
+        this->ledger.adopt(localPermit.endpoint, key, this->waitingCallFor(localPermit));
         return;
     }
-    const PermitState state = this->ledger.ask(ticket.endpoint, key, this->callOf(ticket));
+    const PermitState state = this->ledger.ask(localPermit.endpoint, key, this->waitingCallFor(localPermit));
     if (state == PermitState::Running) {
         this->grant(id, false);
     } else if (state == PermitState::Shed) {
-        this->refuse(id, ErrorKind::Overloaded, "the queue of the endpoint is full");
+        this->reject(id, ErrorKind::Overloaded, "the queue of the endpoint is full");
     }
-    this->publishGrants();
+    this->deliverGrants();
 }
 
 void PermitBroker::grant(std::uint64_t id, bool fallback)
 {
-    const auto found = this->tickets.find(id);
-    if (found == this->tickets.end() || found->second.running) {
+    const auto found = this->localPermits.find(id);
+    if (found == this->localPermits.end() || found->second.running) {
         return;
     }
-    Ticket &ticket = found->second;
-    ticket.running = true;
-    ticket.fallback = fallback;
-    constexpr std::uint64_t Highest = std::numeric_limits<std::int32_t>::max();
+    LocalPermit &localPermit = found->second;
+    localPermit.running = true;
+    localPermit.fallback = fallback;
+    constexpr std::uint64_t MaxPriority = std::numeric_limits<std::int32_t>::max();
     // As in the queue: the program with the most service first.
-    const auto priority = -static_cast<std::int32_t>(std::min(ticket.demand.attainedTokens, Highest));
-    ticket.fulfiller->fulfill(
-        kj::heap<PermitVerdict>(PermitVerdict{DispatchPermit{id, ticket.endpoint, priority}, std::nullopt}));
+    const auto priority = -static_cast<std::int32_t>(std::min(localPermit.request.attainedTokens, MaxPriority));
+    localPermit.fulfiller->fulfill(
+        kj::heap<PermitResult>(PermitResult{DispatchPermit{id, localPermit.endpoint, priority}, std::nullopt}));
 }
 
-void PermitBroker::refuse(std::uint64_t id, ErrorKind kind, const std::string &what)
+void PermitBroker::reject(std::uint64_t id, ErrorKind kind, const std::string &what)
 {
-    const auto found = this->tickets.find(id);
-    if (found == this->tickets.end() || found->second.running) {
+    const auto found = this->localPermits.find(id);
+    if (found == this->localPermits.end() || found->second.running) {
         return;
     }
     auto fulfiller = kj::mv(found->second.fulfiller);
-    this->tickets.erase(found);
-    const std::int64_t retryMs = kind == ErrorKind::DeadlineExceeded ? 0 : OverloadedRetryMs;
-    fulfiller->fulfill(kj::heap<PermitVerdict>(PermitVerdict{{}, Error{kind, what, Ran::No, retryMs}}));
+    this->localPermits.erase(found);
+    const std::int64_t retryMs = kind == ErrorKind::DeadlineExceeded ? 0 : OverloadedRetryAfterMs;
+    fulfiller->fulfill(kj::heap<PermitResult>(PermitResult{{}, Error{kind, what, Ran::No, retryMs}}));
 }
 
-void PermitBroker::withdraw(std::uint64_t id, const Ticket &ticket)
+void PermitBroker::releaseAtDispatcher(std::uint64_t id, const LocalPermit &localPermit)
 {
-    if (ticket.toldTo.empty()) {
+    if (localPermit.requestedFrom.empty()) {
         return;
     }
-    if (ticket.toldTo == this->follower.self.id) {
+    if (localPermit.requestedFrom == this->follower.self.id) {
         this->ledger.release(PermitKey{this->follower.self.id, id});
-        this->publishGrants();
+        this->deliverGrants();
         return;
     }
-    Outbox &outbox = this->outboxes[ticket.toldTo];
-    std::erase(outbox.asks, id);
-    outbox.releases[ticket.endpoint].push_back(id);
-    this->schedule(ticket.toldTo);
+    Outbox &outbox = this->outboxes[localPermit.requestedFrom];
+    std::erase(outbox.requests, id);
+    outbox.releases[localPermit.endpoint].push_back(id);
+    this->scheduleSend(localPermit.requestedFrom);
 }
 
-void PermitBroker::release(const DispatchPermit &permit, const DispatchDemand &demand, const AttemptOutcome &outcome)
+void PermitBroker::release(const DispatchPermit &permit, const DispatchRequest &request, const AttemptOutcome &outcome)
 {
-    const auto found = this->tickets.find(permit.id);
-    if (found == this->tickets.end()) {
+    const auto found = this->localPermits.find(permit.id);
+    if (found == this->localPermits.end()) {
         return;
     }
-    const Ticket ticket = std::move(found->second);
-    this->tickets.erase(found);
-    this->health.record(permit.endpoint, signOf(outcome), this->loop.timers().now());
-    if (outcome.complete && demand.kind == EndpointKind::Engine) {
-        const double held = static_cast<double>(demand.promptTokens + outcome.completionTokens);
-        this->prefixes.onRun(permit.endpoint, demand.program, held);
+    const LocalPermit localPermit = std::move(found->second);
+    this->localPermits.erase(found);
+    this->health.record(permit.endpoint, healthSignalOf(outcome), this->loop.timers().now());
+    if (outcome.complete && request.kind == EndpointKind::Engine) {
+        const double held = static_cast<double>(request.promptTokens + outcome.completionTokens);
+        this->prefixes.onRun(permit.endpoint, request.program, held);
     }
-    if (ticket.fallback) {
-        --this->fallbacks[ticket.endpoint];
+    if (localPermit.fallback) {
+        --this->fallbacks[localPermit.endpoint];
     }
-    const auto load = this->remoteLoads.find(ticket.endpoint);
+    const auto load = this->remoteLoads.find(localPermit.endpoint);
     if (load != this->remoteLoads.end()) {
         load->second.inFlight = std::max(0.0, load->second.inFlight - 1);
-        load->second.backlog = std::max(0.0, load->second.backlog - this->callOf(ticket).expectedTokens);
+        load->second.backlog = std::max(0.0, load->second.backlog - this->waitingCallFor(localPermit).expectedTokens);
     }
-    this->withdraw(permit.id, ticket);
+    this->releaseAtDispatcher(permit.id, localPermit);
 }
 
-void PermitBroker::useFallback(const std::vector<std::uint64_t> &ids)
+void PermitBroker::grantFallbacks(const std::vector<std::uint64_t> &ids)
 {
     for (const std::uint64_t id : ids) {
-        const auto found = this->tickets.find(id);
-        if (found == this->tickets.end() || found->second.running || found->second.demand.isolated) {
+        const auto found = this->localPermits.find(id);
+        if (found == this->localPermits.end() || found->second.running || found->second.request.isolated) {
             continue;
         }
         const std::size_t share =
-            std::max<std::size_t>(1, inFlightBound(found->second.demand.kind) / this->liveEntries());
+            std::max<std::size_t>(1, inFlightBound(found->second.request.kind) / this->liveEntryCount());
         std::size_t &used = this->fallbacks[found->second.endpoint];
         if (used < share) {
             ++used;
@@ -282,7 +288,7 @@
 
 void PermitBroker::setEndpoints(std::shared_ptr<const EndpointList> next)
 {
-    this->latest.store(std::move(next));
+    this->platformList.store(std::move(next));
 }
 
 void PermitBroker::onViewChange()
@@ -300,61 +306,63 @@
     }
     this->ledger.keepOnly(leased);
     for (const EndpointId &endpoint : this->ledger.endpoints()) {
-        if (this->dispatcher(endpoint) != this->follower.self.id) {
+        if (this->dispatcherFor(endpoint) != this->follower.self.id) {
             this->ledger.drop(endpoint);
         }
     }
     std::erase_if(this->outboxes, [&](const auto &row) {
         return !leased.contains(row.first) && !row.second.busy;
     });
-    this->publishGrants();
+    this->deliverGrants();
     this->tick();
 }
 
 void PermitBroker::tick()
 {
     const Instant now = this->loop.timers().now();
-    this->list = this->latest.load();
+    this->endpointList = this->platformList.load();
     std::vector<std::uint64_t> ids;
-    ids.reserve(this->tickets.size());
-    for (const auto &[id, ticket] : this->tickets) {
+    ids.reserve(this->localPermits.size());
+    for (const auto &[id, localPermit] : this->localPermits) {
         ids.push_back(id);
     }
     for (const std::uint64_t id : ids) {
-        const auto found = this->tickets.find(id);
-        if (found == this->tickets.end()) {
+        const auto found = this->localPermits.find(id);
+        if (found == this->localPermits.end()) {
             continue;
         }
-        Ticket &ticket = found->second;
-        const bool lost = this->listed(ticket.endpoint) == nullptr || !this->health.usable(ticket.endpoint, now);
-        if (!ticket.running && now >= ticket.deadline) {
-            this->withdraw(id, ticket);
-            this->refuse(id, ErrorKind::Overloaded, "no endpoint was free in time");
-        } else if (!ticket.running && this->list->empty()) {
+        LocalPermit &localPermit = found->second;
+        const bool unusable =
+            this->findListed(localPermit.endpoint) == nullptr || !this->health.usable(localPermit.endpoint, now);
+        if (!localPermit.running && now >= localPermit.deadline) {
+            this->releaseAtDispatcher(id, localPermit);
+            this->reject(id, ErrorKind::Overloaded, "no endpoint was free in time");
+        } else if (!localPermit.running && this->endpointList->empty()) {
             continue;
-        } else if (!ticket.running && lost && this->fitting(ticket.demand, now).empty()) {
-            this->withdraw(id, ticket);
-            this->refuse(id, ErrorKind::NoEndpoint, ticket.demand.name);
-        } else if (!ticket.running && lost) {
+        } else if (!localPermit.running && unusable && this->eligibleEndpoints(localPermit.request, now).empty()) {
+            this->releaseAtDispatcher(id, localPermit);
+            this->reject(id, ErrorKind::NoEndpoint, localPermit.request.name);
+        } else if (!localPermit.running && unusable) {
             // Another permit id, so that a late grant of the old one can't be taken for the new one's.
             const std::uint64_t next = ++this->lastPermit;
-            Ticket moved = std::move(ticket);
-            this->tickets.erase(found);
-            this->withdraw(id, moved);
-            Ticket &kept = this->tickets[next] = std::move(moved);
-            this->place(next, kept, now);
-        } else if (ticket.toldTo != this->dispatcher(ticket.endpoint)) {
-            this->ask(id, ticket);
-        } else if ((!ticket.running || !ticket.told) && ticket.toldTo != this->follower.self.id) {
-            std::vector<std::uint64_t> &asks = this->outboxes[ticket.toldTo].asks;
-            if (std::find(asks.begin(), asks.end(), id) == asks.end()) {
-                asks.push_back(id);
+            LocalPermit movedPermit = std::move(localPermit);
+            this->localPermits.erase(found);
+            this->releaseAtDispatcher(id, movedPermit);
+            LocalPermit &newPermit = this->localPermits[next] = std::move(movedPermit);
+            this->selectEndpoint(next, newPermit, now);
+        } else if (localPermit.requestedFrom != this->dispatcherFor(localPermit.endpoint)) {
+            this->requestPermit(id, localPermit);
+        } else if ((!localPermit.running || !localPermit.acknowledged)
+            && localPermit.requestedFrom != this->follower.self.id) {
+            std::vector<std::uint64_t> &requests = this->outboxes[localPermit.requestedFrom].requests;
+            if (std::find(requests.begin(), requests.end(), id) == requests.end()) {
+                requests.push_back(id);
             }
         }
     }
     for (const auto &[entry, outbox] : this->outboxes) {
-        if (!outbox.asks.empty() || !outbox.releases.empty()) {
-            this->schedule(entry);
+        if (!outbox.requests.empty() || !outbox.releases.empty()) {
+            this->scheduleSend(entry);
         }
     }
 }
--- a/src/entry/permit_exchange_base.cpp
+++ b/src/entry/permit_exchange_base.cpp
@@ -11,11 +11,11 @@
 namespace
 {
 
-constexpr auto AskTimeout = 500 * kj::MILLISECONDS;
+constexpr auto PeerRequestTimeout = 500 * kj::MILLISECONDS;
 
 } // namespace
 
-std::string PermitBroker::addressOf(const EntryId &entry) const
+std::string PermitBroker::rpcAddressOf(const EntryId &entry) const
 {
     const auto view = this->follower.views.get();
     for (const EntryRecord &record : view == nullptr ? std::vector<EntryRecord>() : view->entries) {
@@ -26,7 +26,7 @@
     return {};
 }
 
-void PermitBroker::schedule(const EntryId &entry)
+void PermitBroker::scheduleSend(const EntryId &entry)
 {
     Outbox &outbox = this->outboxes[entry];
     if (outbox.busy) {
@@ -42,87 +42,88 @@
 void PermitBroker::send(const EntryId &entry)
 {
     Outbox &outbox = this->outboxes[entry];
-    const std::string address = this->addressOf(entry);
-    std::vector<std::uint64_t> ids = std::exchange(outbox.asks, {});
+    const std::string address = this->rpcAddressOf(entry);
+    std::vector<std::uint64_t> ids = std::exchange(outbox.requests, {});
     if (address.empty()) {
         outbox.busy = false;
-        this->useFallback(ids);
+        this->grantFallbacks(ids);
         return;
     }
-    auto asked = ids.empty() ? kj::Promise<void>(kj::READY_NOW) : this->sendAsks(address, entry, ids);
-    this->loop.detach(asked
+    auto requestsSent = ids.empty() ? kj::Promise<void>(kj::READY_NOW) : this->sendRequests(address, entry, ids);
+    this->loop.detach(requestsSent
                           .then([this, address, entry]() {
                               return this->sendReleases(address, entry);
                           })
                           .then(
                               [this, entry]() {
-                                  Outbox &same = this->outboxes[entry];
-                                  same.busy = false;
-                                  if (!same.asks.empty() || !same.releases.empty()) {
-                                      this->schedule(entry);
+                                  Outbox &current = this->outboxes[entry];
+                                  current.busy = false;
+                                  if (!current.requests.empty() || !current.releases.empty()) {
+                                      this->scheduleSend(entry);
                                   }
                               },
                               [this, address, entry, ids](kj::Exception && /*exception*/) {
                                   this->peers.reset(address);
                                   this->outboxes[entry].busy = false; // The next tick sends again.
-                                  this->useFallback(ids);
+                                  this->grantFallbacks(ids);
                               }));
 }
 
-kj::Promise<void> PermitBroker::sendAsks(
+kj::Promise<void> PermitBroker::sendRequests(
     const std::string &address, const EntryId & /*entry*/, std::vector<std::uint64_t> ids)
 {
     std::erase_if(ids, [this](std::uint64_t id) {
-        return !this->tickets.contains(id);
+        return !this->localPermits.contains(id);
     });
     auto sent = this->peers.peer(address).then([this, ids](Wire::EntryPeer::Client &&peer) {
         auto request = peer.permitRequest();
-        auto asks = request.initRequests(static_cast<unsigned>(ids.size()));
-        for (unsigned i = 0; i < asks.size(); ++i) {
-            const auto found = this->tickets.find(ids[i]);
-            if (found == this->tickets.end()) {
+        auto requests = request.initRequests(static_cast<unsigned>(ids.size()));
+        for (unsigned i = 0; i < requests.size(); ++i) {
+            const auto found = this->localPermits.find(ids[i]);
+            if (found == this->localPermits.end()) {
                 continue; // Gone since; without an endpoint it is not counted.
             }
-            const Ticket &ticket = found->second;
-            const WaitingCall call = this->callOf(ticket);
-            asks[i].setEndpoint(ticket.endpoint.text);
-            asks[i].setProgram(ticket.demand.program.text);
-            asks[i].setTenant(ticket.demand.tenant.text);
-            asks[i].setTokens(static_cast<std::uint32_t>(call.expectedTokens));
-            asks[i].setAttained(call.attainedTokens);
-            asks[i].setPermit(ids[i]);
-            asks[i].setEntry(this->follower.self.id.text);
-            asks[i].setIsolated(call.isolated);
-            asks[i].setRunning(ticket.running);
+            const LocalPermit &localPermit = found->second;
+            const WaitingCall call = this->waitingCallFor(localPermit);
+            requests[i].setEndpoint(localPermit.endpoint.text);
+            requests[i].setProgram(localPermit.request.program.text);
+            requests[i].setTenant(localPermit.request.tenant.text);
+            requests[i].setTokens(static_cast<std::uint32_t>(call.expectedTokens));
+            requests[i].setAttained(call.attainedTokens);
+            requests[i].setPermit(ids[i]);
+            requests[i].setEntry(this->follower.self.id.text);
+            requests[i].setIsolated(call.isolated);
+            requests[i].setRunning(localPermit.running);
         }
         return request.send();
     });
-    return this->loop.kjTimer().timeoutAfter(AskTimeout, kj::mv(sent)).then([this, ids](auto &&response) {
-        this->takeReplies(ids, response.getReplies());
+    return this->loop.kjTimer().timeoutAfter(PeerRequestTimeout, kj::mv(sent)).then([this, ids](auto &&response) {
+        this->handleReplies(ids, response.getReplies());
     });
 }
 
-void PermitBroker::takeReplies(const std::vector<std::uint64_t> &ids, capnp::List<Wire::PermitReply>::Reader replies)
+void PermitBroker::handleReplies(const std::vector<std::uint64_t> &ids, capnp::List<Wire::PermitReply>::Reader replies)
 {
     for (unsigned i = 0; i < replies.size() && i < ids.size(); ++i) {
-        const auto found = this->tickets.find(ids[i]);
-        if (found == this->tickets.end()) {
+        const auto found = this->localPermits.find(ids[i]);
+        if (found == this->localPermits.end()) {
             continue;
         }
         if (replies[i].hasFailure()) {
             const Error error = readFailure(replies[i].getFailure());
             if (error.kind == ErrorKind::Overloaded) {
-                this->refuse(ids[i], error.kind, error.what);
+                this->reject(ids[i], error.kind, error.what);
             }
             continue; // Not the dispatcher, by its own view: one of the two views is late; the next tick asks again.
         }
-        Ticket &ticket = found->second;
-        ticket.told = true;
-        if (ticket.fallback) {
-            ticket.fallback = false;
-            --this->fallbacks[ticket.endpoint];
+        LocalPermit &localPermit = found->second;
+        localPermit.acknowledged = true;
+        if (localPermit.fallback) {
+            localPermit.fallback = false;
+            --this->fallbacks[localPermit.endpoint];
         }
-        this->remoteLoads[ticket.endpoint] = {static_cast<double>(replies[i].getInFlight()), replies[i].getBacklog()};
+        this->remoteLoads[localPermit.endpoint] = {
+            static_cast<double>(replies[i].getInFlight()), replies[i].getBacklog()};
         if (replies[i].getGranted()) {
             this->grant(ids[i], false);
         }
@@ -150,7 +151,7 @@
         }
         return kj::joinPromises(all.finish());
     });
-    return this->loop.kjTimer().timeoutAfter(AskTimeout, kj::mv(sent)).then([this, entry, releases]() {
+    return this->loop.kjTimer().timeoutAfter(PeerRequestTimeout, kj::mv(sent)).then([this, entry, releases]() {
         // Confirmed; what came meanwhile stays.
         auto &left = this->outboxes[entry].releases;
         for (const auto &[endpoint, permits] : releases) {
@@ -164,19 +165,19 @@
     });
 }
 
-void PermitBroker::answer(
+void PermitBroker::handleRequests(
     capnp::List<Wire::PermitRequest>::Reader requests, capnp::List<Wire::PermitReply>::Builder replies)
 {
-    this->list = this->latest.load();
+    this->endpointList = this->platformList.load();
     for (unsigned i = 0; i < requests.size(); ++i) {
         const auto request = requests[i];
         const EndpointId endpoint{textOf(request.getEndpoint())};
-        if (endpoint.empty() || this->dispatcher(endpoint) != this->follower.self.id) {
+        if (endpoint.empty() || this->dispatcherFor(endpoint) != this->follower.self.id) {
             writeFailure(replies[i].initFailure(), Error{ErrorKind::NotReady, "not the dispatcher", Ran::No, 0});
             continue;
         }
         const PermitKey key{EntryId{textOf(request.getEntry())}, request.getPermit()};
-        if (const ListedEndpoint *one = this->listed(endpoint)) {
+        if (const ListedEndpoint *one = this->findListed(endpoint)) {
             this->ledger.setBound(endpoint, inFlightBound(one->kind));
         }
         WaitingCall call;
@@ -200,18 +201,18 @@
         replies[i].setInFlight(static_cast<std::uint32_t>(this->ledger.load(endpoint)));
         replies[i].setBacklog(this->ledger.backlog(endpoint));
     }
-    this->publishGrants();
+    this->deliverGrants();
 }
 
-void PermitBroker::takeRelease(const EntryId &entry, capnp::List<std::uint64_t>::Reader permits)
+void PermitBroker::handleRelease(const EntryId &entry, capnp::List<std::uint64_t>::Reader permits)
 {
     for (const std::uint64_t permit : permits) {
         this->ledger.release(PermitKey{entry, permit});
     }
-    this->publishGrants();
+    this->deliverGrants();
 }
 
-void PermitBroker::publishGrants()
+void PermitBroker::deliverGrants()
 {
     std::map<EntryId, std::vector<std::uint64_t>> byEntry;
     for (const PermitKey &key : this->ledger.takeGranted()) {
@@ -219,7 +220,7 @@
     }
     for (const PermitKey &key : this->ledger.takeShed()) {
         if (key.entry == this->follower.self.id) {
-            this->refuse(key.permit, ErrorKind::Overloaded, "the queue of the endpoint is full");
+            this->reject(key.permit, ErrorKind::Overloaded, "the queue of the endpoint is full");
         } // Others learn it when they ask again.
     }
     for (auto &[entry, permits] : byEntry) {
@@ -227,13 +228,13 @@
             for (const std::uint64_t permit : permits) {
                 this->grant(permit, false);
             }
-        } else if (const std::string address = this->addressOf(entry); !address.empty()) {
-            this->loop.detach(this->tellGranted(address, std::move(permits)));
+        } else if (const std::string address = this->rpcAddressOf(entry); !address.empty()) {
+            this->loop.detach(this->notifyGranted(address, std::move(permits)));
         }
     }
 }
 
-kj::Promise<void> PermitBroker::tellGranted(const std::string &address, std::vector<std::uint64_t> permits)
+kj::Promise<void> PermitBroker::notifyGranted(const std::string &address, std::vector<std::uint64_t> permits)
 {
     auto sent = this->peers.peer(address).then([permits = std::move(permits)](Wire::EntryPeer::Client &&peer) {
         auto request = peer.grantedRequest();
@@ -244,10 +245,12 @@
         return request.send().ignoreResult();
     });
     // Where it is lost, the asker asks again, and is told.
-    return this->loop.kjTimer().timeoutAfter(AskTimeout, kj::mv(sent)).catch_([](kj::Exception && /*exception*/) {});
+    return this->loop.kjTimer()
+        .timeoutAfter(PeerRequestTimeout, kj::mv(sent))
+        .catch_([](kj::Exception && /*exception*/) {});
 }
 
-void PermitBroker::takeGranted(capnp::List<std::uint64_t>::Reader permits)
+void PermitBroker::handleGranted(capnp::List<std::uint64_t>::Reader permits)
 {
     for (const std::uint64_t permit : permits) {
         this->grant(permit, false);
--- a/src/entry/program_runtime_base.cpp
+++ b/src/entry/program_runtime_base.cpp
@@ -14,9 +14,9 @@
 {
 
 constexpr std::size_t IdBytes = 12;
-constexpr std::size_t KeyPrefixDigits = 16;
+constexpr std::size_t KeyDigestDigits = 16;
 
-struct LogFailures final : kj::TaskSet::ErrorHandler
+struct TaskErrorLogger final : kj::TaskSet::ErrorHandler
 {
     void taskFailed(kj::Exception &&exception) override
     {
@@ -26,7 +26,7 @@
 
 } // namespace
 
-ProgramId programOfKey(const TenantId &tenant, const std::string &key)
+ProgramId programIdForKey(const TenantId &tenant, const std::string &key)
 {
     return ProgramId{"p-" + sha256Hex(tenant.text + '\0' + key).substr(0, IdBytes * 2)};
 }
@@ -36,9 +36,9 @@
     , client(client)
     , peers(peers)
     , timer(timer)
-    , takingOver(kj::READY_NOW)
-    , failures(kj::heap<LogFailures>())
-    , taskSet(kj::heap<kj::TaskSet>(*this->failures))
+    , takeoverChain(kj::READY_NOW)
+    , taskErrorHandler(kj::heap<TaskErrorLogger>())
+    , taskSet(kj::heap<kj::TaskSet>(*this->taskErrorHandler))
 {
 }
 
@@ -47,12 +47,12 @@
     std::vector<std::pair<SlotId, Epoch>> gained;
     for (const auto &[slot, row] : this->follower.state.slots.all()) {
         const bool mine = !row.removed && row.record.owner == this->follower.self.id;
-        const auto known = this->owned.find(slot);
-        if (!mine && known != this->owned.end()) {
-            this->owned.erase(known);
-            this->copy.dropSlot(slot);
-        } else if (mine && (known == this->owned.end() || known->second.epoch != row.record.epoch)) {
-            this->owned[slot] = OwnedSlot{row.record.epoch, false, true, false};
+        const auto known = this->ownedSlots.find(slot);
+        if (!mine && known != this->ownedSlots.end()) {
+            this->ownedSlots.erase(known);
+            this->journal.dropSlot(slot);
+        } else if (mine && (known == this->ownedSlots.end() || known->second.epoch != row.record.epoch)) {
+            this->ownedSlots[slot] = OwnedSlot{row.record.epoch, false, true, false};
             gained.emplace_back(slot, row.record.epoch);
         } else if (mine && !known->second.ready && !known->second.opening) {
             known->second.opening = true;
@@ -60,17 +60,17 @@
         }
     }
     if (!gained.empty()) {
-        this->takingOver = this->takingOver
-                               .then([this, gained = std::move(gained)]() mutable {
-                                   return this->takeOver(std::move(gained));
-                               })
-                               .eagerlyEvaluate([](kj::Exception &&exception) {
-                                   logEvent(EventKind::SlotMoved, {{"failed", exception.getDescription().cStr()}});
-                               });
+        this->takeoverChain = this->takeoverChain
+                                  .then([this, gained = std::move(gained)]() mutable {
+                                      return this->openSlots(std::move(gained));
+                                  })
+                                  .eagerlyEvaluate([](kj::Exception &&exception) {
+                                      logEvent(EventKind::SlotMoved, {{"failed", exception.getDescription().cStr()}});
+                                  });
     }
 }
 
-kj::Promise<void> ProgramRuntime::takeOver(std::vector<std::pair<SlotId, Epoch>> slots)
+kj::Promise<void> ProgramRuntime::openSlots(std::vector<std::pair<SlotId, Epoch>> slots)
 {
     JournalMessage message;
     auto list = message.initRoot<Wire::JournalCommand>().initOpenSlots(static_cast<unsigned>(slots.size()));
@@ -92,8 +92,8 @@
                 return;
             }
             for (const auto &[slot, epoch] : slots) {
-                const auto known = this->owned.find(slot);
-                if (known != this->owned.end() && known->second.epoch == epoch) {
+                const auto known = this->ownedSlots.find(slot);
+                if (known != this->ownedSlots.end() && known->second.epoch == epoch) {
                     known->second.opening = false; // Tried again by the upkeep.
                 }
             }
@@ -105,15 +105,15 @@
 {
     std::set<SlotId> taken;
     for (const auto &[slot, epoch] : slots) {
-        const auto known = this->owned.find(slot);
-        if (known != this->owned.end() && known->second.epoch == epoch) {
-            if (known->second.outdated) {
+        const auto known = this->ownedSlots.find(slot);
+        if (known != this->ownedSlots.end() && known->second.epoch == epoch) {
+            if (known->second.stale) {
                 known->second = OwnedSlot{epoch, false, false, false}; // Read again.
                 continue;
             }
             known->second = OwnedSlot{epoch, true, false, false};
-            this->copy.dropSlot(slot);
-            this->copy.adoptSlotEpoch(slot, epoch);
+            this->journal.dropSlot(slot);
+            this->journal.adoptSlotEpoch(slot, epoch);
             taken.insert(slot);
         }
     }
@@ -122,16 +122,16 @@
             continue;
         }
         if (program.ended() || (!program.calls.empty() && program.calls.back().state == CallState::Intent)) {
-            this->pending.insert(program.id);
+            this->pendingUpkeep.insert(program.id);
         }
-        this->copy.adopt(std::move(program));
+        this->journal.adopt(std::move(program));
     }
 }
 
-void ProgramRuntime::reload(SlotId slot)
+void ProgramRuntime::reloadSlot(SlotId slot)
 {
-    const auto known = this->owned.find(slot);
-    if (known != this->owned.end()) {
+    const auto known = this->ownedSlots.find(slot);
+    if (known != this->ownedSlots.end()) {
         known->second.ready = false;
     }
 }
@@ -141,7 +141,7 @@
     if (!this->follower.isFresh()) {
         return fail(ErrorKind::NotReady, "the fleet state is not confirmed");
     }
-    for (const auto &[slot, own] : this->owned) {
+    for (const auto &[slot, own] : this->ownedSlots) {
         if (!own.ready) {
             return fail(ErrorKind::NotReady, "slots are being taken over");
         }
@@ -151,20 +151,20 @@
 
 Result<Epoch> ProgramRuntime::readyEpoch(const ProgramId &program) const
 {
-    const auto slot = this->owned.find(slotOf(program.text));
-    if (slot == this->owned.end() || !slot->second.ready) {
+    const auto slot = this->ownedSlots.find(slotOf(program.text));
+    if (slot == this->ownedSlots.end() || !slot->second.ready) {
         return fail(ErrorKind::NotReady, "program " + program.text + " is being moved to another entry");
     }
     return slot->second.epoch;
 }
 
-Result<const ProgramRecord *> ProgramRuntime::findFor(const ProgramId &program, const TenantId &tenant) const
+Result<const ProgramRecord *> ProgramRuntime::findAuthorized(const ProgramId &program, const TenantId &tenant) const
 {
     const Result<Epoch> epoch = this->readyEpoch(program);
     if (!epoch) {
         return tl::unexpected(epoch.error());
     }
-    const ProgramRecord *record = this->copy.find(program);
+    const ProgramRecord *record = this->journal.find(program);
     if (record == nullptr) {
         return fail(ErrorKind::NotFound, "no program " + program.text);
     }
@@ -176,14 +176,14 @@
 
 Result<ProgramRecord> ProgramRuntime::get(const ProgramId &program, const TenantId &tenant) const
 {
-    const auto found = this->findFor(program, tenant);
+    const auto found = this->findAuthorized(program, tenant);
     if (!found) {
         return tl::unexpected(found.error());
     }
     return **found;
 }
 
-Result<ProgramId> ProgramRuntime::mintId(const std::string &prefix) const
+Result<ProgramId> ProgramRuntime::generateId(const std::string &prefix) const
 {
     constexpr int MaxTries = 100'000;
     for (int i = 0; i < MaxTries; ++i) {
@@ -203,38 +203,40 @@
     }
     const SlotId slot = slotOf(program.text);
     return this->client.submitJournal(command).then([this, command, slot, epoch = *epoch](Result<void> &&done) {
-        const auto known = this->owned.find(slot);
-        if (known == this->owned.end() || known->second.epoch != epoch) {
+        const auto known = this->ownedSlots.find(slot);
+        if (known == this->ownedSlots.end() || known->second.epoch != epoch) {
             return Result<void>(kj::mv(done)); // The copy is gone.
         }
         if (!known->second.ready) {
-            known->second.outdated = true;
+            known->second.stale = true;
             return Result<void>(kj::mv(done));
         }
         FlatMessage message(command);
-        const bool differs = done && !this->copy.doCommand(message.root<Wire::JournalCommand>(), true);
+        const bool differs = done && !this->journal.doCommand(message.root<Wire::JournalCommand>(), true);
         const bool unknown = !done && done.error().kind == ErrorKind::NoQuorum;
         if (differs || unknown) {
-            this->reload(slot);
+            this->reloadSlot(slot);
         }
         return Result<void>(kj::mv(done));
     });
 }
 
-Result<ProgramRecord> ProgramRuntime::newProgram(const ProgramWish &wish) const
+Result<ProgramRecord> ProgramRuntime::newProgram(const ProgramParameters &parameters) const
 {
     const SiteDeclaration &site = this->follower.views.get()->site;
     ProgramRecord program;
-    program.tenant = wish.tenant;
-    program.parent = wish.parent;
+    program.tenant = parameters.tenant;
+    program.parent = parameters.parent;
     program.createdMs = wallMsNow();
-    program.requestId = wish.requestKey.empty() ? "" : wish.requestKey + ":" + wish.digest;
+    program.requestId = parameters.idempotencyKey.empty() ? "" : parameters.idempotencyKey + ":" + parameters.digest;
     Budget bound{site.defaultCalls, site.defaultTokens, site.defaultMs, site.maxDepth};
-    const std::string digest = wish.requestKey.empty() ? "" : sha256Hex(wish.requestKey).substr(0, KeyPrefixDigits);
-    if (wish.parent.empty()) {
-        program.id = wish.requestKey.empty() ? ProgramId{} : programOfKey(wish.tenant, wish.requestKey);
+    const std::string digest =
+        parameters.idempotencyKey.empty() ? "" : sha256Hex(parameters.idempotencyKey).substr(0, KeyDigestDigits);
+    if (parameters.parent.empty()) {
+        program.id = parameters.idempotencyKey.empty() ? ProgramId{}
+                                                       : programIdForKey(parameters.tenant, parameters.idempotencyKey);
     } else {
-        const auto parent = this->findFor(wish.parent, wish.tenant);
+        const auto parent = this->findAuthorized(parameters.parent, parameters.tenant);
         if (!parent) {
             return tl::unexpected(parent.error());
         }
@@ -249,15 +251,16 @@
             }
         }
     }
-    program.budget.calls = wish.budget.calls == 0 ? bound.calls : wish.budget.calls;
-    program.budget.tokens = wish.budget.tokens == 0 ? bound.tokens : wish.budget.tokens;
-    program.budget.milliseconds = wish.budget.milliseconds == 0 ? bound.milliseconds : wish.budget.milliseconds;
-    if (!wish.parent.empty()) {
+    program.budget.calls = parameters.budget.calls == 0 ? bound.calls : parameters.budget.calls;
+    program.budget.tokens = parameters.budget.tokens == 0 ? bound.tokens : parameters.budget.tokens;
+    program.budget.milliseconds =
+        parameters.budget.milliseconds == 0 ? bound.milliseconds : parameters.budget.milliseconds;
+    if (!parameters.parent.empty()) {
         program.budget.milliseconds = std::min(program.budget.milliseconds, bound.milliseconds);
     }
     program.budget.depth = bound.depth;
     if (program.id.empty()) {
-        const Result<ProgramId> id = this->mintId(digest);
+        const Result<ProgramId> id = this->generateId(digest);
         if (!id) {
             return tl::unexpected(id.error());
         }
@@ -266,7 +269,7 @@
     return program;
 }
 
-kj::Promise<Result<void>> ProgramRuntime::carve(const ProgramRecord &parent, const ProgramRecord &child)
+kj::Promise<Result<void>> ProgramRuntime::reserveForChild(const ProgramRecord &parent, const ProgramRecord &child)
 {
     const Result<Epoch> epoch = this->readyEpoch(parent.id);
     if (!epoch) {
@@ -274,25 +277,25 @@
     }
     JournalMessage message;
     auto command = initCommand(message, parent.id, *epoch);
-    auto carved = command.initCarve();
-    carved.setProgram(parent.id.text);
-    carved.setChild(child.id.text);
-    writeBudget(carved.initAmount(), child.budget);
+    auto reserved = command.initCarve();
+    reserved.setProgram(parent.id.text);
+    reserved.setChild(child.id.text);
+    writeBudget(reserved.initAmount(), child.budget);
     return this->commit(parent.id, flatBytes(message));
 }
 
-kj::Promise<Result<ProgramId>> ProgramRuntime::create(ProgramWish wish)
+kj::Promise<Result<ProgramId>> ProgramRuntime::create(ProgramParameters parameters)
 {
-    Result<ProgramRecord> made = this->newProgram(wish);
+    Result<ProgramRecord> made = this->newProgram(parameters);
     const Result<Epoch> epoch = made ? this->readyEpoch(made->id) : tl::unexpected(made.error());
     if (!epoch) {
         return Result<ProgramId>(tl::unexpected(epoch.error()));
     }
-    kj::Promise<Result<void>> carved = Result<void>();
-    if (!wish.parent.empty()) {
-        carved = this->carve(**this->findFor(wish.parent, wish.tenant), *made);
+    kj::Promise<Result<void>> reserved = Result<void>();
+    if (!parameters.parent.empty()) {
+        reserved = this->reserveForChild(**this->findAuthorized(parameters.parent, parameters.tenant), *made);
     }
-    return carved
+    return reserved
         .then([this, program = *made, epoch = *epoch](Result<void> &&done) -> kj::Promise<Result<void>> {
             if (!done) {
                 return Result<void>(kj::mv(done));
@@ -302,20 +305,20 @@
             writeProgram(command.initCreate(), program);
             return this->commit(program.id, flatBytes(message));
         })
-        .then([id = made->id, wish](Result<void> &&done) -> Result<ProgramId> {
+        .then([id = made->id, parameters](Result<void> &&done) -> Result<ProgramId> {
             if (!done) {
                 return tl::unexpected(done.error());
             }
             logEvent(EventKind::ProgramCreated,
-                {{"program", id.text}, {"tenant", wish.tenant.text}, {"parent", wish.parent.text},
-                    {"key_id", wish.key.text}});
+                {{"program", id.text}, {"tenant", parameters.tenant.text}, {"parent", parameters.parent.text},
+                    {"key_id", parameters.key.text}});
             return id;
         });
 }
 
 kj::Promise<Result<void>> ProgramRuntime::endProgram(ProgramId program, TenantId tenant)
 {
-    const auto found = this->findFor(program, tenant);
+    const auto found = this->findAuthorized(program, tenant);
     if (!found) {
         return Result<void>(tl::unexpected(found.error()));
     }
@@ -328,8 +331,8 @@
     return this->commit(program, flatBytes(message)).then([this, program](Result<void> &&done) {
         if (done) {
             logEvent(EventKind::ProgramEnded, {{"program", program.text}});
-            this->pending.insert(program);
-            this->held.erase(program);
+            this->pendingUpkeep.insert(program);
+            this->reservedTokens.erase(program);
             const auto call = this->running.find(program);
             if (call != this->running.end() && call->second.stream->cancellable) {
                 call->second.stream->cancel.cancel();
--- a/src/entry/program_runtime_base.h
+++ b/src/entry/program_runtime_base.h
@@ -29,7 +29,7 @@
     Epoch epoch; ///< Under which the journal takes its writes.
     bool ready = false; ///< Opened in the journal and its programs loaded.
     bool opening = false; ///< Being taken over.
-    bool outdated = false; ///< A commit was answered while the programs were read, which may not hold it yet.
+    bool stale = false; ///< A commit was answered while the programs were read, which may not hold it yet.
 };
 
 /** A call under way at this entry. */
@@ -45,11 +45,11 @@
 struct CallStart
 {
     bool stored = false; ///< The call has ended; `call` is its result.
-    bool fresh = false; ///< The call is to be run, and `stream` filled; otherwise it is under way.
+    bool isNew = false; ///< The call is to be run, and `stream` filled; otherwise it is under way.
     CallRecord call; ///< The stored result, or the call to run.
     std::vector<ChatMessage> history; ///< Messages and answers of the calls before it.
     std::shared_ptr<CallStream> stream; ///< Of the running call.
-    std::uint64_t promptBound = 0; ///< Model calls: the prompt has no more tokens than this.
+    std::uint64_t maxPromptTokens = 0; ///< Model calls: the prompt has no more tokens than this.
     std::uint32_t maxTokens = 0; ///< Model calls: bound of the answer, within the budget.
     std::uint64_t attainedTokens = 0; ///< What the program has used so far.
     std::int64_t timeoutMs = 0; ///< From now to the end of the last attempt.
@@ -57,13 +57,13 @@
 };
 
 /** What a caller asks of a new program. */
-struct ProgramWish
+struct ProgramParameters
 {
     TenantId tenant; ///< Of the caller's key.
     KeyId key; ///< The caller's; for events only.
     Budget budget; ///< Parts that are 0 take the site's defaults.
     ProgramId parent; ///< Empty for a root.
-    std::string requestKey; ///< The caller's Idempotency-Key; empty for none.
+    std::string idempotencyKey; ///< The caller's Idempotency-Key; empty for none.
     std::string digest; ///< Of the request's content.
 };
 
@@ -71,7 +71,7 @@
 [[nodiscard]] std::vector<ChatMessage> historyOf(const ProgramRecord &program);
 
 /** The id of the root program that @p key of @p tenant creates, so that a resend through any entry finds it. */
-[[nodiscard]] ProgramId programOfKey(const TenantId &tenant, const std::string &key);
+[[nodiscard]] ProgramId programIdForKey(const TenantId &tenant, const std::string &key);
 
 /** For the control thread. Part of it stands in program_runtime_call.cpp and program_runtime_upkeep.cpp. */
 class ProgramRuntime
@@ -87,9 +87,9 @@
     void updateSlots();
 
     /** Returns blocks that no running call needs; before a planned stop. */
-    [[nodiscard]] kj::Promise<void> returnBlocks();
+    [[nodiscard]] kj::Promise<void> returnReservedTokens();
 
-    [[nodiscard]] kj::Promise<Result<ProgramId>> create(ProgramWish wish);
+    [[nodiscard]] kj::Promise<Result<ProgramId>> create(ProgramParameters parameters);
     [[nodiscard]] kj::Promise<Result<CallStart>> beginCall(
         ProgramId program, CallNumber number, TenantId tenant, CallRequest request);
 
@@ -105,11 +105,11 @@
     void dropCall(const ProgramId &program, std::uint64_t usedTokens);
 
     /** Takes the result of an attempt that began at an earlier owner. */
-    [[nodiscard]] kj::Promise<Result<void>> takeResult(ProgramId program, CallRecord call, std::uint64_t covered);
+    [[nodiscard]] kj::Promise<Result<void>> commitResult(ProgramId program, CallRecord call, std::uint64_t covered);
     [[nodiscard]] kj::Promise<Result<void>> endProgram(ProgramId program, TenantId tenant);
 
     /** The cache of an ended program was released at @p endpoint. */
-    [[nodiscard]] kj::Promise<void> released(ProgramId program, EndpointId endpoint, bool confirmed);
+    [[nodiscard]] kj::Promise<void> onCacheReleased(ProgramId program, EndpointId endpoint, bool confirmed);
 
     /** A copy of the program where the tenant may see it. */
     [[nodiscard]] Result<ProgramRecord> get(const ProgramId &program, const TenantId &tenant) const;
@@ -117,7 +117,7 @@
     /** Whether all slots that the fleet state gives this entry are served. */
     [[nodiscard]] Result<void> ready() const;
 
-    [[nodiscard]] std::size_t runningCalls() const
+    [[nodiscard]] std::size_t runningCallCount() const
     {
         return this->running.size();
     }
@@ -125,31 +125,31 @@
     std::function<void(ProgramId, EndpointId)> releaseCache; ///< Begins a release; answered by `released`.
 
 private:
-    kj::Promise<void> takeOver(std::vector<std::pair<SlotId, Epoch>> slots);
+    kj::Promise<void> openSlots(std::vector<std::pair<SlotId, Epoch>> slots);
     void adoptSlots(const std::vector<std::pair<SlotId, Epoch>> &slots, std::vector<ProgramRecord> programs);
-    void reload(SlotId slot);
-    Result<const ProgramRecord *> findFor(const ProgramId &program, const TenantId &tenant) const;
+    void reloadSlot(SlotId slot);
+    Result<const ProgramRecord *> findAuthorized(const ProgramId &program, const TenantId &tenant) const;
     Result<Epoch> readyEpoch(const ProgramId &program) const;
     Result<CallStart> checkCall(const ProgramRecord &program, CallNumber number, const CallRequest &request) const;
-    Result<CallStart> checkKnown(
+    Result<CallStart> checkExistingCall(
         const ProgramRecord &program, const CallRecord *known, CallNumber number, const CallRequest &request) const;
     Result<void> planCall(CallStart &start, const ProgramRecord &program, const CallRequest &request) const;
     Result<void> planModel(CallStart &start, const ProgramRecord &program, const CallRequest &request) const;
-    kj::Promise<Result<CallRecord>> sendEnd(
-        ProgramId program, CallRecord call, std::uint64_t covered, unsigned triesLeft);
-    kj::Promise<Result<void>> sendResult(ProgramId program, CallRecord call, std::uint64_t covered);
+    kj::Promise<Result<CallRecord>> commitEnd(
+        ProgramId program, CallRecord call, std::uint64_t covered, unsigned attemptsLeft);
+    kj::Promise<Result<void>> forwardResult(ProgramId program, CallRecord call, std::uint64_t covered);
     kj::Promise<Result<void>> commit(const ProgramId &program, std::string command);
-    kj::Promise<Result<void>> carve(const ProgramRecord &parent, const ProgramRecord &child);
-    Result<ProgramId> mintId(const std::string &prefix) const;
-    Result<ProgramRecord> newProgram(const ProgramWish &wish) const;
-    std::uint64_t heldTokens(const ProgramId &program) const;
+    kj::Promise<Result<void>> reserveForChild(const ProgramRecord &parent, const ProgramRecord &child);
+    Result<ProgramId> generateId(const std::string &prefix) const;
+    Result<ProgramRecord> newProgram(const ProgramParameters &parameters) const;
+    std::uint64_t unusedReservation(const ProgramId &program) const;
 
     void upkeep();
     void upkeepProgram(const ProgramRecord &program);
-    void endDeadIntent(const ProgramRecord &program);
+    void endOrphanedIntent(const ProgramRecord &program);
     void endChildren(const ProgramRecord &program);
     kj::Promise<Result<void>> endChild(ProgramId child, TenantId tenant);
-    void forget(const ProgramRecord &program);
+    void removeExpired(const ProgramRecord &program);
     void detach(const ProgramId &program, kj::Promise<void> work);
 
     FleetFollower &follower; ///< Outlives this.
@@ -157,16 +157,17 @@
     PeerLinks &peers; ///< Outlives this.
     kj::Timer &timer; ///< Outlives this.
     TimerSubscription subscription; ///< Runs the upkeep.
-    JournalState copy; ///< Of the owned slots; holds only what the journal has committed.
-    std::map<SlotId, OwnedSlot> owned; ///< By the fleet state.
+    JournalState journal; ///< Of the owned slots; holds only what the journal has committed.
+    std::map<SlotId, OwnedSlot> ownedSlots; ///< By the fleet state.
     std::map<ProgramId, RunningCall> running; ///< Calls under way; at most one per program.
-    std::map<ProgramId, std::uint64_t> held; ///< Tokens taken in blocks and not used yet.
-    std::set<ProgramId> pending; ///< Programs with dead intents, releases, children to end, or a retention to wait for.
-    std::set<ProgramId> busy; ///< Programs whose upkeep is under way.
-    std::map<ProgramId, std::int64_t> quietSinceMs; ///< Wall time since which ended programs run nothing.
-    std::set<AttemptId> neverSent; ///< Attempts whose begin had no answer; nothing was sent under them.
-    kj::Promise<void> takingOver; ///< Chain of take-overs.
-    kj::Own<kj::TaskSet::ErrorHandler> failures; ///< Logs failed background work.
+    std::map<ProgramId, std::uint64_t> reservedTokens; ///< Tokens taken in blocks and not used yet.
+    std::set<ProgramId>
+        pendingUpkeep; ///< Programs with dead intents, releases, children to end, or a retention to wait for.
+    std::set<ProgramId> upkeepInProgress; ///< Programs whose upkeep is under way.
+    std::map<ProgramId, std::int64_t> idleSinceMs; ///< Wall time since which ended programs run nothing.
+    std::set<AttemptId> unsentAttempts; ///< Attempts whose begin had no answer; nothing was sent under them.
+    kj::Promise<void> takeoverChain; ///< Chain of take-overs.
+    kj::Own<kj::TaskSet::ErrorHandler> taskErrorHandler; ///< Logs failed background work.
     kj::Own<kj::TaskSet> taskSet; ///< Owns the tasks.
 };
 
--- a/src/entry/program_runtime_call.cpp
+++ b/src/entry/program_runtime_call.cpp
@@ -13,15 +13,15 @@
 {
 
 constexpr std::size_t IdBytes = 12;
-constexpr unsigned EndTries = 50;
+constexpr unsigned MaxEndAttempts = 50;
 constexpr auto EndRetryDelay = 300 * kj::MILLISECONDS;
 
 /** Engines add marks around each message. */
-constexpr std::uint64_t TokensPerMessageMark = 8;
+constexpr std::uint64_t MessageOverheadTokens = 8;
 
 /** A block covers about this many calls, and at most that share of what is left, as a crash loses it. */
 constexpr std::uint64_t CallsPerBlock = 4;
-constexpr std::uint64_t LargestBlockShare = 8;
+constexpr std::uint64_t MaxBlockDivisor = 8;
 
 /** Time for the result of an intent to be journaled after its own deadline. */
 constexpr std::int64_t ResultGraceMs = 1000;
@@ -36,7 +36,7 @@
     return tokens;
 }
 
-bool mayEndLater(const Error &error)
+bool isRetryable(const Error &error)
 {
     return error.kind == ErrorKind::NoQuorum || error.kind == ErrorKind::NotLeader
         || error.kind == ErrorKind::StaleEpoch || error.kind == ErrorKind::NotReady;
@@ -63,13 +63,13 @@
     return history;
 }
 
-std::uint64_t ProgramRuntime::heldTokens(const ProgramId &program) const
+std::uint64_t ProgramRuntime::unusedReservation(const ProgramId &program) const
 {
-    const auto found = this->held.find(program);
-    return found == this->held.end() ? 0 : found->second;
+    const auto found = this->reservedTokens.find(program);
+    return found == this->reservedTokens.end() ? 0 : found->second;
 }
 
-Result<CallStart> ProgramRuntime::checkKnown(
+Result<CallStart> ProgramRuntime::checkExistingCall(
     const ProgramRecord &program, const CallRecord *known, CallNumber number, const CallRequest &request) const
 {
     const auto current = this->running.find(program.id);
@@ -100,28 +100,28 @@
         return fail(ErrorKind::NotFound, "no model " + request.model.text);
     }
     start.timeoutMs = model->second.timeoutMs;
-    start.promptBound = historyTokens(program) + TokensPerMessageMark;
+    start.maxPromptTokens = historyTokens(program) + MessageOverheadTokens;
     for (const ChatMessage &message : request.messages) {
-        start.promptBound += message.content.size() + TokensPerMessageMark;
+        start.maxPromptTokens += message.content.size() + MessageOverheadTokens;
     }
-    const std::uint64_t left = program.budget.tokens - program.spent.tokens + this->heldTokens(program.id);
-    if (left <= start.promptBound) {
+    const std::uint64_t left = program.budget.tokens - program.spent.tokens + this->unusedReservation(program.id);
+    if (left <= start.maxPromptTokens) {
         return fail(ErrorKind::BudgetSpent,
             "program " + program.id.text + " has " + std::to_string(left) + " tokens left; this prompt may take "
-                + std::to_string(start.promptBound));
+                + std::to_string(start.maxPromptTokens));
     }
-    const std::uint32_t most = model->second.maxTokens;
-    const std::uint32_t wanted = request.maxTokens == 0 ? most : std::min(request.maxTokens, most);
-    start.maxTokens = static_cast<std::uint32_t>(std::min<std::uint64_t>(wanted, left - start.promptBound));
+    const std::uint32_t modelMaxTokens = model->second.maxTokens;
+    const std::uint32_t wanted = request.maxTokens == 0 ? modelMaxTokens : std::min(request.maxTokens, modelMaxTokens);
+    start.maxTokens = static_cast<std::uint32_t>(std::min<std::uint64_t>(wanted, left - start.maxPromptTokens));
     start.history = historyOf(program);
     return {};
 }
 
 Result<void> ProgramRuntime::planCall(CallStart &start, const ProgramRecord &program, const CallRequest &request) const
 {
-    const std::int64_t wallLeftMs =
+    const std::int64_t remainingMs =
         program.createdMs + static_cast<std::int64_t>(program.budget.milliseconds) - wallMsNow();
-    if (program.spent.calls >= program.budget.calls || wallLeftMs <= 0) {
+    if (program.spent.calls >= program.budget.calls || remainingMs <= 0) {
         return fail(ErrorKind::BudgetSpent, "program " + program.id.text);
     }
     if (request.kind == CallKind::Model) {
@@ -140,7 +140,7 @@
             request.idempotent || std::find(methods.begin(), methods.end(), request.method) != methods.end();
         start.timeoutMs = service->second.timeoutMs;
     }
-    start.timeoutMs = std::min(start.timeoutMs, wallLeftMs);
+    start.timeoutMs = std::min(start.timeoutMs, remainingMs);
     return {};
 }
 
@@ -150,13 +150,13 @@
     const CallRecord *known = program.find(number);
     const auto current = this->running.find(program.id);
     if (known != nullptr || (current != this->running.end() && current->second.number == number)) {
-        return this->checkKnown(program, known, number, request);
+        return this->checkExistingCall(program, known, number, request);
     }
     if (program.ended()) {
         return fail(ErrorKind::ProgramEnded, "program " + program.id.text);
     }
-    const bool waits = !program.calls.empty() && program.calls.back().state != CallState::Ended;
-    if (number.value != program.calls.size() + 1 || current != this->running.end() || waits) {
+    const bool intentPending = !program.calls.empty() && program.calls.back().state != CallState::Ended;
+    if (number.value != program.calls.size() + 1 || current != this->running.end() || intentPending) {
         return fail(ErrorKind::Conflict,
             "call " + std::to_string(number.value) + " must wait for the one before it; "
                 + std::to_string(program.calls.size()) + " were made");
@@ -166,7 +166,7 @@
     if (!planned) {
         return tl::unexpected(planned.error());
     }
-    start.fresh = true;
+    start.isNew = true;
     start.attainedTokens = program.spent.tokens;
     start.call.number = number;
     start.call.digest = request.digest;
@@ -180,15 +180,15 @@
 kj::Promise<Result<CallStart>> ProgramRuntime::beginCall(
     ProgramId program, CallNumber number, TenantId tenant, CallRequest request)
 {
-    const auto found = this->findFor(program, tenant);
+    const auto found = this->findAuthorized(program, tenant);
     Result<CallStart> start = found ? this->checkCall(**found, number, request) : tl::unexpected(found.error());
-    if (!start || !start->fresh) {
+    if (!start || !start->isNew) {
         if (start && start->stream != nullptr) {
-            start->stream->join();
+            start->stream->addReader();
         }
         return start;
     }
-    start->stream->join();
+    start->stream->addReader();
     this->running[program] = RunningCall{number, start->call.digest, start->call.attempt, start->stream};
     logEvent(EventKind::CallAccepted,
         {{"program", program.text}, {"call", std::to_string(number.value)}, {"attempt", start->call.attempt.text}});
@@ -206,8 +206,8 @@
                 return std::move(start);
             }
             // The begin may have been committed all the same, but nothing was sent to a service.
-            this->neverSent.insert(start->call.attempt);
-            this->pending.insert(program);
+            this->unsentAttempts.insert(start->call.attempt);
+            this->pendingUpkeep.insert(program);
             this->running.erase(program);
             start->stream->finish(tl::unexpected(done.error()));
             return tl::unexpected(done.error());
@@ -217,19 +217,19 @@
 kj::Promise<Result<void>> ProgramRuntime::prepareAttempt(ProgramId program, EndpointId endpoint, std::uint64_t tokens)
 {
     const Result<Epoch> epoch = this->readyEpoch(program);
-    const ProgramRecord *record = epoch ? this->copy.find(program) : nullptr;
+    const ProgramRecord *record = epoch ? this->journal.find(program) : nullptr;
     if (record == nullptr) {
         return Result<void>(fail(ErrorKind::NotReady, "program " + program.text + " is being moved"));
     }
-    const std::uint64_t have = this->heldTokens(program);
+    const std::uint64_t unused = this->unusedReservation(program);
     const bool known = std::find(record->releases.begin(), record->releases.end(), endpoint) != record->releases.end();
-    if (have >= tokens && known) {
+    if (unused >= tokens && known) {
         return Result<void>();
     }
     const std::uint64_t left = record->budget.tokens - record->spent.tokens;
-    const std::uint64_t missing = tokens - std::min(tokens, have);
+    const std::uint64_t missing = tokens - std::min(tokens, unused);
     const std::uint64_t block =
-        missing == 0 ? 0 : std::max(missing, std::min(CallsPerBlock * tokens, left / LargestBlockShare));
+        missing == 0 ? 0 : std::max(missing, std::min(CallsPerBlock * tokens, left / MaxBlockDivisor));
     JournalMessage message;
     auto command = initCommand(message, program, *epoch);
     auto reserve = command.initReserve();
@@ -239,7 +239,7 @@
     writeBudget(reserve.initAmount(), Budget{0, block, 0, 0});
     return this->commit(program, flatBytes(message)).then([this, program, block](Result<void> &&done) {
         if (done) {
-            this->held[program] += block;
+            this->reservedTokens[program] += block;
         }
         return kj::mv(done);
     });
@@ -247,15 +247,15 @@
 
 kj::Promise<Result<CallRecord>> ProgramRuntime::endCall(ProgramId program, CallRecord call)
 {
-    const std::uint64_t covered = std::min(call.tokens, this->heldTokens(program));
-    return this->sendEnd(program, call, covered, EndTries)
+    const std::uint64_t covered = std::min(call.tokens, this->unusedReservation(program));
+    return this->commitEnd(program, call, covered, MaxEndAttempts)
         .then([this, program, call, covered](Result<CallRecord> &&done) {
-            const auto block = this->held.find(program);
-            if (block != this->held.end()) {
+            const auto block = this->reservedTokens.find(program);
+            if (block != this->reservedTokens.end()) {
                 block->second -= std::min(block->second, covered);
             }
             this->running.erase(program);
-            this->quietSinceMs[program] = wallMsNow();
+            this->idleSinceMs[program] = wallMsNow();
             logEvent(EventKind::CallEnded,
                 {{"program", program.text}, {"call", std::to_string(call.number.value)},
                     {"status", std::to_string(call.status)}, {"endpoint", call.endpoint.text}});
@@ -265,41 +265,42 @@
 
 void ProgramRuntime::dropCall(const ProgramId &program, std::uint64_t usedTokens)
 {
-    const auto block = this->held.find(program);
-    if (block != this->held.end()) {
+    const auto block = this->reservedTokens.find(program);
+    if (block != this->reservedTokens.end()) {
         block->second -= std::min(block->second, usedTokens);
     }
     this->running.erase(program);
-    this->pending.insert(program); // An intent without a result is ended after its deadline.
-    this->quietSinceMs[program] = wallMsNow();
+    this->pendingUpkeep.insert(program); // An intent without a result is ended after its deadline.
+    this->idleSinceMs[program] = wallMsNow();
 }
 
-kj::Promise<Result<CallRecord>> ProgramRuntime::sendEnd(
-    ProgramId program, CallRecord call, std::uint64_t covered, unsigned triesLeft)
+kj::Promise<Result<CallRecord>> ProgramRuntime::commitEnd(
+    ProgramId program, CallRecord call, std::uint64_t covered, unsigned attemptsLeft)
 {
     const bool here = this->readyEpoch(program).has_value();
-    auto sent = here ? this->takeResult(program, call, covered) : this->sendResult(program, call, covered);
-    return sent.then([this, program, call, covered, triesLeft](Result<void> &&done) -> kj::Promise<Result<CallRecord>> {
-        if (done) {
-            return Result<CallRecord>(call);
-        }
-        if (mayEndLater(done.error()) && triesLeft > 1) {
-            return this->timer.afterDelay(EndRetryDelay).then([this, program, call, covered, triesLeft]() {
-                return this->sendEnd(program, call, covered, triesLeft - 1);
-            });
-        }
-        const ProgramRecord *record = this->copy.find(program);
-        const CallRecord *stored = record == nullptr ? nullptr : record->find(call.number);
-        if (stored != nullptr && stored->state == CallState::Ended && stored->digest == call.digest) {
-            return Result<CallRecord>(*stored); // A resend elsewhere ended first.
-        }
-        Error error = done.error();
-        error.ran = call.failure ? call.failure->ran : Ran::Yes;
-        return Result<CallRecord>(tl::unexpected(error));
-    });
+    auto sent = here ? this->commitResult(program, call, covered) : this->forwardResult(program, call, covered);
+    return sent.then(
+        [this, program, call, covered, attemptsLeft](Result<void> &&done) -> kj::Promise<Result<CallRecord>> {
+            if (done) {
+                return Result<CallRecord>(call);
+            }
+            if (isRetryable(done.error()) && attemptsLeft > 1) {
+                return this->timer.afterDelay(EndRetryDelay).then([this, program, call, covered, attemptsLeft]() {
+                    return this->commitEnd(program, call, covered, attemptsLeft - 1);
+                });
+            }
+            const ProgramRecord *record = this->journal.find(program);
+            const CallRecord *stored = record == nullptr ? nullptr : record->find(call.number);
+            if (stored != nullptr && stored->state == CallState::Ended && stored->digest == call.digest) {
+                return Result<CallRecord>(*stored); // A resend elsewhere ended first.
+            }
+            Error error = done.error();
+            error.ran = call.failure ? call.failure->ran : Ran::Yes;
+            return Result<CallRecord>(tl::unexpected(error));
+        });
 }
 
-kj::Promise<Result<void>> ProgramRuntime::takeResult(ProgramId program, CallRecord call, std::uint64_t covered)
+kj::Promise<Result<void>> ProgramRuntime::commitResult(ProgramId program, CallRecord call, std::uint64_t covered)
 {
     const Result<Epoch> epoch = this->readyEpoch(program);
     if (!epoch) {
@@ -314,7 +315,7 @@
     return this->commit(program, flatBytes(message));
 }
 
-kj::Promise<Result<void>> ProgramRuntime::sendResult(ProgramId program, CallRecord call, std::uint64_t covered)
+kj::Promise<Result<void>> ProgramRuntime::forwardResult(ProgramId program, CallRecord call, std::uint64_t covered)
 {
     const SlotRecord *slot = this->follower.state.slots.find(slotOf(program.text));
     const EntryRecord *owner = slot == nullptr ? nullptr : this->follower.state.entries.find(slot->owner);
--- a/src/entry/program_runtime_upkeep.cpp
+++ b/src/entry/program_runtime_upkeep.cpp
@@ -12,10 +12,10 @@
 namespace
 {
 
-constexpr Duration UpkeepPeriod = std::chrono::milliseconds(250);
+constexpr Duration UpkeepInterval = std::chrono::milliseconds(250);
 
 /** After the last attempt of a program, an engine may take this long to see that it was cancelled. */
-constexpr std::int64_t QuietBeforeReleaseMs = 300;
+constexpr std::int64_t IdleBeforeReleaseMs = 300;
 
 constexpr std::size_t BlockIdBytes = 12;
 
@@ -49,7 +49,7 @@
 
 void ProgramRuntime::start(TimerService &timers)
 {
-    this->subscription = timers.every(UpkeepPeriod, [this]() {
+    this->subscription = timers.every(UpkeepInterval, [this]() {
         this->updateSlots();
         this->upkeep();
     });
@@ -62,17 +62,17 @@
 
 void ProgramRuntime::upkeep()
 {
-    const std::set<ProgramId> all = this->pending;
+    const std::set<ProgramId> all = this->pendingUpkeep;
     for (const ProgramId &id : all) {
-        if (!this->owned.contains(slotOf(id.text))) {
-            this->pending.erase(id);
-            this->quietSinceMs.erase(id);
-        } else if (this->readyEpoch(id) && !this->busy.contains(id) && !this->running.contains(id)) {
-            const ProgramRecord *program = this->copy.find(id);
+        if (!this->ownedSlots.contains(slotOf(id.text))) {
+            this->pendingUpkeep.erase(id);
+            this->idleSinceMs.erase(id);
+        } else if (this->readyEpoch(id) && !this->upkeepInProgress.contains(id) && !this->running.contains(id)) {
+            const ProgramRecord *program = this->journal.find(id);
             if (program != nullptr) {
                 this->upkeepProgram(*program);
             } else {
-                this->pending.erase(id);
+                this->pendingUpkeep.erase(id);
             }
         }
     }
@@ -81,66 +81,66 @@
 void ProgramRuntime::upkeepProgram(const ProgramRecord &program)
 {
     if (!program.calls.empty() && program.calls.back().state == CallState::Intent) {
-        this->endDeadIntent(program);
+        this->endOrphanedIntent(program);
         return;
     }
     if (!program.ended()) {
-        this->pending.erase(program.id);
-        this->quietSinceMs.erase(program.id);
+        this->pendingUpkeep.erase(program.id);
+        this->idleSinceMs.erase(program.id);
         return;
     }
-    const std::int64_t quietSince = this->quietSinceMs.try_emplace(program.id, wallMsNow()).first->second;
-    if (wallMsNow() - quietSince < QuietBeforeReleaseMs) {
+    const std::int64_t idleSince = this->idleSinceMs.try_emplace(program.id, wallMsNow()).first->second;
+    if (wallMsNow() - idleSince < IdleBeforeReleaseMs) {
         return;
     }
     if (!program.releases.empty()) {
-        this->busy.insert(program.id);
+        this->upkeepInProgress.insert(program.id);
         this->releaseCache(program.id, program.releases.front());
     } else if (!program.children.empty()) {
         this->endChildren(program);
     } else if (wallMsNow() - program.endedMs > this->follower.views.get()->site.retentionMs) {
-        this->forget(program);
+        this->removeExpired(program);
     }
 }
 
 void ProgramRuntime::detach(const ProgramId &program, kj::Promise<void> work)
 {
-    this->busy.insert(program);
+    this->upkeepInProgress.insert(program);
     this->taskSet->add(work.then(
         [this, id = program]() {
-            this->busy.erase(id);
+            this->upkeepInProgress.erase(id);
         },
         [this, id = program](kj::Exception &&exception) {
             logEvent(EventKind::ChildFailed, {{"child", "upkeep"}, {"error", exception.getDescription().cStr()}});
-            this->busy.erase(id);
+            this->upkeepInProgress.erase(id);
         }));
 }
 
-void ProgramRuntime::endDeadIntent(const ProgramRecord &program)
+void ProgramRuntime::endOrphanedIntent(const ProgramRecord &program)
 {
     CallRecord call = program.calls.back();
-    const bool untouched = this->neverSent.contains(call.attempt);
-    if (!untouched && wallMsNow() < call.deadlineMs) {
+    const bool neverSent = this->unsentAttempts.contains(call.attempt);
+    if (!neverSent && wallMsNow() < call.deadlineMs) {
         return;
     }
-    call.failure = untouched ? Error{ErrorKind::NoQuorum, "", Ran::No, 0}
+    call.failure = neverSent ? Error{ErrorKind::NoQuorum, "", Ran::No, 0}
                              : Error{ErrorKind::OutcomeUnknown, "the entry that ran it was lost", Ran::Unknown, 0};
     call.status = 0;
     this->detach(
-        program.id, this->takeResult(program.id, call, 0).then([this, id = program.id, call](Result<void> &&done) {
+        program.id, this->commitResult(program.id, call, 0).then([this, id = program.id, call](Result<void> &&done) {
             if (done) {
-                this->neverSent.erase(call.attempt);
+                this->unsentAttempts.erase(call.attempt);
                 logEvent(EventKind::CallEnded,
                     {{"program", id.text}, {"call", std::to_string(call.number.value)}, {"outcome", "unknown"}});
             }
         }));
 }
 
-kj::Promise<void> ProgramRuntime::released(ProgramId program, EndpointId endpoint, bool confirmed)
+kj::Promise<void> ProgramRuntime::onCacheReleased(ProgramId program, EndpointId endpoint, bool confirmed)
 {
     const Result<Epoch> epoch = this->readyEpoch(program);
     if (!confirmed || !epoch) {
-        this->busy.erase(program);
+        this->upkeepInProgress.erase(program);
         return kj::READY_NOW;
     }
     JournalMessage message;
@@ -149,7 +149,7 @@
     released.setProgram(program.text);
     released.setEndpoint(endpoint.text);
     return this->commit(program, flatBytes(message)).then([this, program, endpoint](Result<void> && /*done*/) {
-        this->busy.erase(program);
+        this->upkeepInProgress.erase(program);
         logEvent(EventKind::CacheReleased, {{"program", program.text}, {"endpoint", endpoint.text}});
     });
 }
@@ -211,20 +211,20 @@
             });
 }
 
-void ProgramRuntime::forget(const ProgramRecord &program)
+void ProgramRuntime::removeExpired(const ProgramRecord &program)
 {
     JournalMessage message;
     auto command = initCommand(message, program.id, *this->readyEpoch(program.id));
     command.initForget(1).set(0, program.id.text);
     this->detach(program.id, this->commit(program.id, flatBytes(message)).then([this, id = program.id](auto && /**/) {
-        this->quietSinceMs.erase(id);
+        this->idleSinceMs.erase(id);
     }));
 }
 
-kj::Promise<void> ProgramRuntime::returnBlocks()
+kj::Promise<void> ProgramRuntime::returnReservedTokens()
 {
     kj::Vector<kj::Promise<void>> returns;
-    for (const auto &[program, tokens] : this->held) {
+    for (const auto &[program, tokens] : this->reservedTokens) {
         const Result<Epoch> epoch = this->readyEpoch(program);
         if (tokens == 0 || !epoch || this->running.contains(program)) {
             continue;
@@ -238,7 +238,7 @@
         writeBudget(reserve.initAmount(), Budget{0, tokens, 0, 0});
         returns.add(this->commit(program, flatBytes(message)).ignoreResult());
     }
-    std::erase_if(this->held, [this](const auto &item) {
+    std::erase_if(this->reservedTokens, [this](const auto &item) {
         return !this->running.contains(item.first);
     });
     return kj::joinPromises(returns.releaseAsArray());
--- a/src/entry/program_service_base.cpp
+++ b/src/entry/program_service_base.cpp
@@ -11,9 +11,9 @@
 #include <Poco/URI.h>
 
 #include "core/hash_func.h"
-#include "entry/call_runner_base.h"
-#include "entry/forwarded_answer_base.h"
+#include "entry/call_responder_base.h"
 #include "entry/http_reply_func.h"
+#include "entry/request_forwarder_base.h"
 #include "fleet/fleet_base.h"
 #include "observe/log_func.h"
 #include "rpc/message_func.h"
@@ -27,14 +27,14 @@
 constexpr int StatusOk = 200;
 constexpr int StatusCreated = 201;
 constexpr std::size_t MaxKeyBytes = 256;
-constexpr std::int64_t MaxBudgetField = 1'000'000'000'000;
+constexpr std::int64_t MaxBudgetValue = 1'000'000'000'000;
 
 /** How long a request is held while its slot moves, and when to come back after that. */
-constexpr Duration HoldPeriod = std::chrono::milliseconds(4500);
-constexpr auto HoldStep = std::chrono::milliseconds(50);
-constexpr std::int64_t ComeBackMs = 1000;
+constexpr Duration MaxHoldTime = std::chrono::milliseconds(4500);
+constexpr auto HoldRetryInterval = std::chrono::milliseconds(50);
+constexpr std::int64_t HoldRetryAfterMs = 1000;
 
-Result<CallNumber> parseNumber(const std::string &text)
+Result<CallNumber> parseCallNumber(const std::string &text)
 {
     std::uint32_t number = 0;
     const auto parsed = std::from_chars(text.data(), text.data() + text.size(), number);
@@ -44,25 +44,25 @@
     return CallNumber{number};
 }
 
-Result<std::uint64_t> budgetField(const Poco::JSON::Object::Ptr &budget, const std::string &name)
+Result<std::uint64_t> parseBudgetField(const Poco::JSON::Object::Ptr &budget, const std::string &name)
 {
     const Poco::Dynamic::Var value = budget->get(name);
     if (value.isEmpty()) {
         return 0;
     }
     const bool whole = value.isInteger() && !value.isBoolean();
-    if (!whole || value.convert<std::int64_t>() < 1 || value.convert<std::int64_t>() > MaxBudgetField) {
+    if (!whole || value.convert<std::int64_t>() < 1 || value.convert<std::int64_t>() > MaxBudgetValue) {
         return fail(ErrorKind::BadRequest, "field budget." + name + " must be a whole number from 1");
     }
     return value.convert<std::uint64_t>();
 }
 
-Result<ProgramWish> parseWish(const std::string &body)
+Result<ProgramParameters> parseParameters(const std::string &body)
 {
     constexpr std::uint64_t MsPerSecond = 1000;
-    ProgramWish wish;
+    ProgramParameters parameters;
     if (body.empty()) {
-        return wish;
+        return parameters;
     }
     try {
         const auto object = Poco::JSON::Parser().parse(body).extract<Poco::JSON::Object::Ptr>();
@@ -70,19 +70,19 @@
         if (!parent.isEmpty() && !parent.isString()) {
             return fail(ErrorKind::BadRequest, "field parent must be the id of a program");
         }
-        wish.parent = ProgramId{parent.isEmpty() ? "" : parent.extract<std::string>()};
+        parameters.parent = ProgramId{parent.isEmpty() ? "" : parent.extract<std::string>()};
         if (!object->has("budget")) {
-            return wish;
+            return parameters;
         }
         const auto budget = object->getObject("budget");
-        const auto calls = budgetField(budget, "calls");
-        const auto tokens = budgetField(budget, "tokens");
-        const auto seconds = budgetField(budget, "seconds");
+        const auto calls = parseBudgetField(budget, "calls");
+        const auto tokens = parseBudgetField(budget, "tokens");
+        const auto seconds = parseBudgetField(budget, "seconds");
         if (!calls || !tokens || !seconds) {
             return tl::unexpected(!calls ? calls.error() : !tokens ? tokens.error() : seconds.error());
         }
-        wish.budget = Budget{*calls, *tokens, *seconds * MsPerSecond, 0};
-        return wish;
+        parameters.budget = Budget{*calls, *tokens, *seconds * MsPerSecond, 0};
+        return parameters;
     } catch (const std::exception &) {
         return fail(
             ErrorKind::BadRequest, R"(the body must be {"budget":{"calls":…,"tokens":…,"seconds":…},"parent":…})");
@@ -91,14 +91,14 @@
 
 /** Whether a request that failed with @p error may succeed when it is given to the slot's owner again, which knows a
  * call that has begun by its number and content. Cancelled: it had joined a call that its last reader was leaving. */
-bool mayHold(const Error &error)
+bool mayRetryAtOwner(const Error &error)
 {
     return error.kind == ErrorKind::NotReady || error.kind == ErrorKind::StaleEpoch || error.kind == ErrorKind::NoQuorum
         || error.kind == ErrorKind::NotLeader || error.kind == ErrorKind::Cancelled;
 }
 
 /** What is true of a request that was tried twice. */
-Ran both(Ran earlier, Ran later)
+Ran combineRan(Ran earlier, Ran later)
 {
     const bool yes = earlier == Ran::Yes || later == Ran::Yes;
     return yes ? Ran::Yes : earlier == Ran::Unknown ? earlier : later;
@@ -106,12 +106,12 @@
 
 } // namespace
 
-void writeRequest(Wire::ForwardedRequest::Builder builder, const CallerRequest &request)
+void writeRequest(Wire::ForwardedRequest::Builder builder, const ClientRequest &request)
 {
     builder.setMethod(request.method);
     builder.setPath(request.uri);
-    builder.setTenant(request.caller.tenant.text);
-    builder.setKeyId(request.caller.key.text);
+    builder.setTenant(request.client.tenant.text);
+    builder.setKeyId(request.client.key.text);
     builder.setIdempotencyKey(request.idempotencyKey);
     builder.setBody(dataOf(request.body));
     builder.setHops(1);
@@ -123,14 +123,14 @@
     headers[1].setValue(request.program);
 }
 
-CallerRequest readRequest(Wire::ForwardedRequest::Reader reader)
+ClientRequest readRequest(Wire::ForwardedRequest::Reader reader)
 {
     observeHybridTime(reader.getTime());
-    CallerRequest request;
+    ClientRequest request;
     request.method = textOf(reader.getMethod());
     request.uri = textOf(reader.getPath());
     Poco::URI(request.uri).getPathSegments(request.path);
-    request.caller = Caller{TenantId{textOf(reader.getTenant())}, KeyId{textOf(reader.getKeyId())}};
+    request.client = ClientIdentity{TenantId{textOf(reader.getTenant())}, KeyId{textOf(reader.getKeyId())}};
     request.idempotencyKey = textOf(reader.getIdempotencyKey());
     request.body = bytesOf(reader.getBody());
     request.forwarded = reader.getHops() > 0;
@@ -141,9 +141,9 @@
     return request;
 }
 
-ProgramService::ProgramService(EntryContext &context, AnswerWriter &answer, const CallerRequest &request)
+ProgramService::ProgramService(EntryContext &context, ResponseWriter &writer, const ClientRequest &request)
     : context(context)
-    , answer(answer)
+    , writer(writer)
     , request(request)
 {
 }
@@ -165,7 +165,7 @@
         return {};
     }
     if (programs && path.size() == 5 && path[3] == "calls" && method == "POST") {
-        const Result<CallNumber> parsed = parseNumber(path[4]);
+        const Result<CallNumber> parsed = parseCallNumber(path[4]);
         if (!parsed) {
             return tl::unexpected(parsed.error());
         }
@@ -188,19 +188,19 @@
 Result<void> ProgramService::checkCreate()
 {
     this->route = Route::Create;
-    Result<ProgramWish> parsed = parseWish(this->request.body);
+    Result<ProgramParameters> parsed = parseParameters(this->request.body);
     if (!parsed) {
         return tl::unexpected(parsed.error());
     }
-    this->wish = std::move(*parsed);
-    this->wish.tenant = this->request.caller.tenant;
-    this->wish.key = this->request.caller.key;
-    this->wish.requestKey = this->request.idempotencyKey;
-    this->wish.digest = sha256Hex(this->request.body);
-    if (!this->wish.parent.empty()) {
-        this->program = this->wish.parent;
-    } else if (!this->wish.requestKey.empty()) {
-        this->program = programOfKey(this->wish.tenant, this->wish.requestKey);
+    this->parameters = std::move(*parsed);
+    this->parameters.tenant = this->request.client.tenant;
+    this->parameters.key = this->request.client.key;
+    this->parameters.idempotencyKey = this->request.idempotencyKey;
+    this->parameters.digest = sha256Hex(this->request.body);
+    if (!this->parameters.parent.empty()) {
+        this->program = this->parameters.parent;
+    } else if (!this->parameters.idempotencyKey.empty()) {
+        this->program = programIdForKey(this->parameters.tenant, this->parameters.idempotencyKey);
     }
     return {};
 }
@@ -211,9 +211,9 @@
         return tl::unexpected(parsed.error());
     }
     this->call = std::move(*parsed);
-    const bool alone = this->route == Route::Service || (this->route == Route::Chat && this->program.empty());
-    if (alone && !this->request.idempotencyKey.empty()) {
-        this->program = programOfKey(this->request.caller.tenant, this->request.idempotencyKey);
+    const bool standalone = this->route == Route::Service || (this->route == Route::Chat && this->program.empty());
+    if (standalone && !this->request.idempotencyKey.empty()) {
+        this->program = programIdForKey(this->request.client.tenant, this->request.idempotencyKey);
     }
     return {};
 }
@@ -235,7 +235,7 @@
     const auto &methods = declared->second.idempotentMethods;
     const bool idempotent = std::find(methods.begin(), methods.end(), this->request.method) != methods.end();
     if (idempotent && this->request.idempotencyKey.empty()) {
-        this->plainTimeoutMs = declared->second.timeoutMs;
+        this->statelessTimeoutMs = declared->second.timeoutMs;
     }
     return checked;
 }
@@ -246,7 +246,7 @@
     EntryId owner;
     if (!this->program.empty()) {
         owner = view->slots.at(slotOf(this->program.text).value).owner;
-    } else if (this->context.draining && this->plainTimeoutMs == 0) {
+    } else if (this->context.draining && this->statelessTimeoutMs == 0) {
         // A new program needs an entry that will stay.
         for (const EntryRecord &entry : view->entries) {
             owner = entry.state == EntryState::Live ? entry.id : owner;
@@ -260,7 +260,7 @@
     return "";
 }
 
-bool ProgramService::isOwn() const
+bool ProgramService::isLocal() const
 {
     return this->ownerAddress().empty();
 }
@@ -268,33 +268,33 @@
 void ProgramService::serve()
 {
     const Instant begin = this->context.loop.timers().now();
-    const Instant giveUp = begin + HoldPeriod;
+    const Instant deadline = begin + MaxHoldTime;
     // A former owner may not know yet that a program has moved on elsewhere.
     const auto mayBeStale = [&](const Error &error) {
-        const bool depends = error.kind == ErrorKind::NotFound || error.kind == ErrorKind::Conflict;
-        return depends && error.ran == Ran::No && !this->context.follower.views.isReadAfter(begin);
+        const bool dependsOnOwner = error.kind == ErrorKind::NotFound || error.kind == ErrorKind::Conflict;
+        return dependsOnOwner && error.ran == Ran::No && !this->context.follower.views.wasReadAfter(begin);
     };
     Ran ran = Ran::No;
     Result<void> served = this->serveOnce();
-    while (!served && (mayHold(served.error()) || mayBeStale(served.error())) && !this->answer.isStarted()
-        && !this->answer.isGone() && this->context.loop.timers().now() < giveUp) {
-        ran = both(ran, served.error().ran);
-        std::this_thread::sleep_for(HoldStep);
+    while (!served && (mayRetryAtOwner(served.error()) || mayBeStale(served.error())) && !this->writer.isStarted()
+        && !this->writer.isAbandoned() && this->context.loop.timers().now() < deadline) {
+        ran = combineRan(ran, served.error().ran);
+        std::this_thread::sleep_for(HoldRetryInterval);
         served = this->serveOnce();
     }
-    if (served || this->answer.isStarted() || this->answer.isGone()) {
+    if (served || this->writer.isStarted() || this->writer.isAbandoned()) {
         return;
     }
     Error error = served.error();
-    error.ran = both(ran, error.ran);
+    error.ran = combineRan(ran, error.ran);
     if (error.kind == ErrorKind::StaleEpoch) {
         error.kind = ErrorKind::NotReady; // Epochs are not the caller's: the slot is still moving.
     }
-    if (mayHold(error) && error.retryAfterMs == 0) {
-        error.retryAfterMs = ComeBackMs;
+    if (mayRetryAtOwner(error) && error.retryAfterMs == 0) {
+        error.retryAfterMs = HoldRetryAfterMs;
     }
     logEvent(EventKind::CallRefused, {{"program", this->program.text}, {"error", error.what}});
-    replyError(this->answer, error);
+    replyError(this->writer, error);
 }
 
 Result<void> ProgramService::serveOnce()
@@ -303,44 +303,44 @@
     if (!address.empty()) {
         return this->request.forwarded ? fail(ErrorKind::NotReady, "the program has moved") : this->forward(address);
     }
-    return this->serveHere();
+    return this->serveLocally();
 }
 
-Result<void> ProgramService::serveHere()
+Result<void> ProgramService::serveLocally()
 {
     switch (this->route) {
     case Route::Create:
         return this->create();
     case Route::Show: {
         const Result<ProgramRecord> record = this->context.loop.call([this]() {
-            return this->context.programs.get(this->program, this->request.caller.tenant);
+            return this->context.programs.get(this->program, this->request.client.tenant);
         });
         if (!record) {
             return tl::unexpected(record.error());
         }
-        replyJson(this->answer, StatusOk, programJson(*record));
+        replyJson(this->writer, StatusOk, programJson(*record));
         return {};
     }
     case Route::End: {
         Result<void> ended = this->context.loop.call([this]() {
-            return this->context.programs.endProgram(this->program, this->request.caller.tenant);
+            return this->context.programs.endProgram(this->program, this->request.client.tenant);
         });
         if (ended) {
-            replyJson(this->answer, StatusOk, R"({"state":"ended"})");
+            replyJson(this->writer, StatusOk, R"({"state":"ended"})");
         }
         return ended;
     }
     case Route::Call:
-        return CallRunner(this->context, this->answer, this->program, this->request.caller.tenant)
+        return CallResponder(this->context, this->writer, this->program, this->request.client.tenant)
             .run(this->number, this->call);
     case Route::Chat:
-        return this->request.program.empty() ? this->runOneCall() : this->runInProgram();
+        return this->request.program.empty() ? this->runSingleCallProgram() : this->runInProgram();
     case Route::Service:
-        if (this->plainTimeoutMs > 0) {
-            return CallRunner(this->context, this->answer, {}, this->request.caller.tenant)
-                .runPlain(this->call, this->plainTimeoutMs);
+        if (this->statelessTimeoutMs > 0) {
+            return CallResponder(this->context, this->writer, {}, this->request.client.tenant)
+                .runStateless(this->call, this->statelessTimeoutMs);
         }
-        return this->runOneCall();
+        return this->runSingleCallProgram();
     }
     return fail(ErrorKind::NotFound, "no such route");
 }
@@ -348,35 +348,35 @@
 Result<void> ProgramService::create()
 {
     const Result<ProgramId> id = this->context.loop.call([this]() {
-        return this->context.programs.create(this->wish);
+        return this->context.programs.create(this->parameters);
     });
     if (!id) {
         return tl::unexpected(id.error());
     }
-    replyJson(this->answer, StatusCreated, R"({"id":)" + jsonQuoted(id->text) + "}");
+    replyJson(this->writer, StatusCreated, R"({"id":)" + jsonQuoted(id->text) + "}");
     return {};
 }
 
-Result<void> ProgramService::runOneCall()
+Result<void> ProgramService::runSingleCallProgram()
 {
-    ProgramWish one;
-    one.tenant = this->request.caller.tenant;
-    one.key = this->request.caller.key;
-    one.requestKey = this->request.idempotencyKey;
-    one.digest = this->call.digest;
-    one.budget.calls = 1;
+    ProgramParameters singleCallProgram;
+    singleCallProgram.tenant = this->request.client.tenant;
+    singleCallProgram.key = this->request.client.key;
+    singleCallProgram.idempotencyKey = this->request.idempotencyKey;
+    singleCallProgram.digest = this->call.digest;
+    singleCallProgram.budget.calls = 1;
     const Result<ProgramId> id = this->context.loop.call([&]() {
-        return this->context.programs.create(one);
+        return this->context.programs.create(singleCallProgram);
     });
     if (!id) {
         return tl::unexpected(id.error());
     }
     Result<void> ran =
-        CallRunner(this->context, this->answer, *id, this->request.caller.tenant).run(CallNumber{1}, this->call);
-    const bool again = !ran && ran.error().ran == Ran::No && !one.requestKey.empty();
+        CallResponder(this->context, this->writer, *id, this->request.client.tenant).run(CallNumber{1}, this->call);
+    const bool again = !ran && ran.error().ran == Ran::No && !singleCallProgram.idempotencyKey.empty();
     if (!again) {
         this->context.loop.call([&]() {
-            return this->context.programs.endProgram(*id, this->request.caller.tenant).ignoreResult();
+            return this->context.programs.endProgram(*id, this->request.client.tenant).ignoreResult();
         });
     }
     return ran;
@@ -385,19 +385,19 @@
 Result<void> ProgramService::runInProgram()
 {
     const Result<ProgramRecord> record = this->context.loop.call([this]() {
-        return this->context.programs.get(this->program, this->request.caller.tenant);
+        return this->context.programs.get(this->program, this->request.client.tenant);
     });
     if (!record) {
         return tl::unexpected(record.error());
     }
     const auto next = static_cast<std::uint32_t>(record->calls.size() + 1);
-    return CallRunner(this->context, this->answer, this->program, this->request.caller.tenant)
+    return CallResponder(this->context, this->writer, this->program, this->request.client.tenant)
         .run(CallNumber{next}, withoutHistory(this->call, historyOf(*record)));
 }
 
 Result<void> ProgramService::forward(const std::string &address)
 {
-    ForwardedAnswer forwarded(this->context, this->answer);
+    RequestForwarder forwarded(this->context, this->writer);
     return forwarded.run(address, this->request);
 }
 
