--- a/src/entry/program_service_base.h
+++ b/src/entry/program_service_base.h
@@ -5,8 +5,8 @@
 #include <string>
 #include <vector>
 
-#include "entry/answer_writer_base.h"
 #include "entry/entry_context_type.h"
+#include "entry/response_writer_base.h"
 #include "program/call_request_type.h"
 #include "rpc/entry.capnp.h"
 
@@ -14,7 +14,7 @@
 {
 
 /** A request whose key was checked. */
-struct CallerRequest
+struct ClientRequest
 {
     std::string method; ///< HTTP method.
     std::string uri; ///< Path and query.
@@ -23,18 +23,18 @@
     std::string idempotencyKey; ///< Of the caller; empty for none.
     std::string program; ///< Header X-Program-Id.
     std::string body; ///< Within its bound.
-    Caller caller; ///< Whom it runs for.
+    ClientIdentity client; ///< Whom it runs for.
     bool forwarded = false; ///< Came from another entry; it is not forwarded again.
 };
 
-void writeRequest(Wire::ForwardedRequest::Builder builder, const CallerRequest &request);
-[[nodiscard]] CallerRequest readRequest(Wire::ForwardedRequest::Reader reader);
+void writeRequest(Wire::ForwardedRequest::Builder builder, const ClientRequest &request);
+[[nodiscard]] ClientRequest readRequest(Wire::ForwardedRequest::Reader reader);
 
 /** For one request on one traffic thread. */
 class ProgramService
 {
 public:
-    ProgramService(EntryContext &context, AnswerWriter &answer, const CallerRequest &request);
+    ProgramService(EntryContext &context, ResponseWriter &writer, const ClientRequest &request);
 
     /** Checks the request field by field; nothing is run. Errors: BadRequest, NotFound. */
     Result<void> check();
@@ -43,7 +43,7 @@
     void serve();
 
     /** Whether the program's slot belongs to this entry; for forwarded requests. */
-    [[nodiscard]] bool isOwn() const;
+    [[nodiscard]] bool isLocal() const;
 
 private:
     enum class Route : std::uint8_t { Create, Show, End, Call, Chat, Service };
@@ -53,22 +53,22 @@
     Result<void> checkService();
     [[nodiscard]] std::string ownerAddress() const;
     Result<void> serveOnce();
-    Result<void> serveHere();
+    Result<void> serveLocally();
     Result<void> create();
-    Result<void> runOneCall();
+    Result<void> runSingleCallProgram();
     Result<void> runInProgram();
     Result<void> forward(const std::string &address);
-    Result<ProgramId> createForOneCall();
+    Result<ProgramId> createForSingleCall();
 
     EntryContext &context; ///< Of the entry.
-    AnswerWriter &answer; ///< To the caller.
-    const CallerRequest &request; ///< Outlives this.
+    ResponseWriter &writer; ///< To the caller.
+    const ClientRequest &request; ///< Outlives this.
     Route route = Route::Show; ///< Set by check.
     ProgramId program; ///< Whose slot decides where the request runs; empty where any entry will do.
-    ProgramWish wish; ///< Of a creation.
+    ProgramParameters parameters; ///< Of a creation.
     CallRequest call; ///< Of a call.
     CallNumber number; ///< Of a call.
-    std::int64_t plainTimeoutMs = 0; ///< Set for an idempotent service request without a key.
+    std::int64_t statelessTimeoutMs = 0; ///< Set for an idempotent service request without a key.
 };
 
 } // namespace Chestnuthook
--- a/src/entry/quarantine_base.cpp
+++ b/src/entry/quarantine_base.cpp
@@ -18,12 +18,12 @@
 namespace
 {
 
-constexpr std::int64_t StrikePeriodMs = 10L * 60 * 1000;
+constexpr std::int64_t StrikeTtlMs = 10L * 60 * 1000;
 
 /** After this time the fleet state's copy holds what was told. */
-constexpr std::int64_t RecentMs = 5000;
-constexpr auto TellTimeout = 300 * kj::MILLISECONDS;
-constexpr std::size_t MaxRecent = 10'000;
+constexpr std::int64_t RecentStrikeTtlMs = 5000;
+constexpr auto PeerNotifyTimeout = 300 * kj::MILLISECONDS;
+constexpr std::size_t MaxRecentFingerprints = 10'000;
 
 } // namespace
 
@@ -39,7 +39,7 @@
     return sha256Hex(content);
 }
 
-std::uint32_t Quarantine::strikesOf(const std::string &fingerprint) const
+std::uint32_t Quarantine::countStrikes(const std::string &fingerprint) const
 {
     std::set<EndpointId> endpoints;
     const StrikeRecord *known = this->follower.state.strikes.find(fingerprint);
@@ -48,8 +48,8 @@
     }
     const auto own = this->recent.find(fingerprint);
     if (own != this->recent.end()) {
-        for (const auto &[endpoint, toldMs] : own->second) {
-            if (wallMsNow() - toldMs < RecentMs) {
+        for (const auto &[endpoint, recordedMs] : own->second) {
+            if (wallMsNow() - recordedMs < RecentStrikeTtlMs) {
                 endpoints.insert(endpoint);
             }
         }
@@ -57,15 +57,15 @@
     return static_cast<std::uint32_t>(endpoints.size());
 }
 
-std::int64_t Quarantine::refusedForMs(const std::string &fingerprint) const
+std::int64_t Quarantine::remainingRefusalMs(const std::string &fingerprint) const
 {
     const StrikeRecord *known = this->follower.state.strikes.find(fingerprint);
-    return known == nullptr ? StrikePeriodMs : std::max<std::int64_t>(1, known->expiresAtMs - wallMsNow());
+    return known == nullptr ? StrikeTtlMs : std::max<std::int64_t>(1, known->expiresAtMs - wallMsNow());
 }
 
-kj::Promise<std::uint32_t> Quarantine::strike(std::string fingerprint, EndpointId endpoint)
+kj::Promise<std::uint32_t> Quarantine::recordStrike(std::string fingerprint, EndpointId endpoint)
 {
-    this->note(fingerprint, endpoint);
+    this->addRecentStrike(fingerprint, endpoint);
     metrics().add(MetricKind::StrikesTotal);
     logEvent(EventKind::StrikeRecorded, {{"fingerprint", fingerprint}, {"endpoint", endpoint.text}});
     capnp::MallocMessageBuilder message;
@@ -74,48 +74,49 @@
     auto strike = command.initStrike();
     strike.setFingerprint(fingerprint);
     strike.initEndpoints(1).set(0, endpoint.text);
-    strike.setExpiresAtMs(wallMsNow() + StrikePeriodMs);
+    strike.setExpiresAtMs(wallMsNow() + StrikeTtlMs);
     auto recorded = this->client.submitFleet(flatBytes(message)).ignoreResult();
-    auto told = this->tellOthers(fingerprint, endpoint);
+    auto notified = this->notifyPeers(fingerprint, endpoint);
     return recorded
-        .then([told = kj::mv(told)]() mutable {
-            return kj::mv(told);
+        .then([notified = kj::mv(notified)]() mutable {
+            return kj::mv(notified);
         })
         .then([this, fingerprint]() {
-            return this->strikesOf(fingerprint);
+            return this->countStrikes(fingerprint);
         });
 }
 
-void Quarantine::note(const std::string &fingerprint, const EndpointId &endpoint)
+void Quarantine::addRecentStrike(const std::string &fingerprint, const EndpointId &endpoint)
 {
-    if (this->recent.size() >= MaxRecent) {
+    if (this->recent.size() >= MaxRecentFingerprints) {
         this->recent.clear();
     }
     this->recent[fingerprint][endpoint] = wallMsNow();
 }
 
-kj::Promise<void> Quarantine::tellOthers(const std::string &fingerprint, const EndpointId &endpoint)
+kj::Promise<void> Quarantine::notifyPeers(const std::string &fingerprint, const EndpointId &endpoint)
 {
-    kj::Vector<kj::Promise<void>> tells;
+    kj::Vector<kj::Promise<void>> notifications;
     for (const auto &[id, row] : this->follower.state.entries.all()) {
         if (row.removed || id == this->follower.self.id) {
             continue;
         }
-        auto tell =
+        auto notification =
             this->peers.peer(row.record.rpcAddress).then([fingerprint, endpoint](Wire::EntryPeer::Client &&peer) {
                 auto request = peer.struckRequest();
                 request.setFingerprint(fingerprint);
                 request.setEndpoint(endpoint.text);
                 return request.send().ignoreResult();
             });
-        tells.add(this->timer.timeoutAfter(TellTimeout, kj::mv(tell)).catch_([](kj::Exception && /*exception*/) {
-            // It reads the strike from the fleet state.
-        }));
+        notifications.add(this->timer.timeoutAfter(PeerNotifyTimeout, kj::mv(notification))
+                              .catch_([](kj::Exception && /*exception*/) {
+                                  // It reads the strike from the fleet state.
+                              }));
     }
-    return kj::joinPromises(tells.releaseAsArray());
+    return kj::joinPromises(notifications.releaseAsArray());
 }
 
-kj::Promise<void> Quarantine::clear(std::string fingerprint)
+kj::Promise<void> Quarantine::clearStrikes(std::string fingerprint)
 {
     this->recent.erase(fingerprint);
     capnp::MallocMessageBuilder message;
--- a/src/entry/quarantine_base.h
+++ b/src/entry/quarantine_base.h
@@ -17,7 +17,7 @@
 {
 
 /** From this many strikes on a request is refused; with fewer it runs alone at an endpoint. */
-constexpr std::uint32_t StrikesToRefuse = 2;
+constexpr std::uint32_t MinStrikesToRefuse = 2;
 
 /** Names a request by its tenant and content. */
 [[nodiscard]] std::string fingerprintOf(const TenantId &tenant, const CallRequest &request);
@@ -35,23 +35,23 @@
     }
 
     /** Takes in a strike that the fleet state's copy may not hold yet. */
-    void note(const std::string &fingerprint, const EndpointId &endpoint);
+    void addRecentStrike(const std::string &fingerprint, const EndpointId &endpoint);
 
     /** Strikes that count now. */
-    [[nodiscard]] std::uint32_t strikesOf(const std::string &fingerprint) const;
+    [[nodiscard]] std::uint32_t countStrikes(const std::string &fingerprint) const;
 
     /** When a refusal of @p fingerprint ends, in milliseconds from now. */
-    [[nodiscard]] std::int64_t refusedForMs(const std::string &fingerprint) const;
+    [[nodiscard]] std::int64_t remainingRefusalMs(const std::string &fingerprint) const;
 
     /** Records that @p endpoint died with the request in flight. @return its strikes then. */
-    [[nodiscard]] kj::Promise<std::uint32_t> strike(std::string fingerprint, EndpointId endpoint);
+    [[nodiscard]] kj::Promise<std::uint32_t> recordStrike(std::string fingerprint, EndpointId endpoint);
 
     /** A suspect has run well, alone at an endpoint. */
-    [[nodiscard]] kj::Promise<void> clear(std::string fingerprint);
+    [[nodiscard]] kj::Promise<void> clearStrikes(std::string fingerprint);
 
 private:
     /** Tells the other entries, and waits for those that answer within TellTimeout. */
-    [[nodiscard]] kj::Promise<void> tellOthers(const std::string &fingerprint, const EndpointId &endpoint);
+    [[nodiscard]] kj::Promise<void> notifyPeers(const std::string &fingerprint, const EndpointId &endpoint);
 
     FleetFollower &follower; ///< Outlives this.
     ControlClient &client; ///< Outlives this.
--- a/src/entry/request_handler_base.cpp
+++ b/src/entry/request_handler_base.cpp
@@ -1,4 +1,4 @@
-/** @file request_handler_base.cpp  Routes of the caller interface. */
+/** @file request_handler_base.cpp  Routes of the client interface. */
 #include "entry/request_handler_base.h"
 
 #include <algorithm>
@@ -23,7 +23,7 @@
 {
 
 constexpr std::size_t MaxBodyBytes = 1024UL * 1024;
-constexpr std::streamsize MaxIgnoredBytes = 8L * 1024 * 1024;
+constexpr std::streamsize MaxDrainedBodyBytes = 8L * 1024 * 1024;
 constexpr std::size_t MaxEvents = 1000;
 constexpr int DirectoryTtlMs = 2000;
 constexpr std::string_view BearerPrefix = "Bearer ";
@@ -35,7 +35,7 @@
     body.resize(static_cast<std::size_t>(request.stream().gcount()));
     if (body.size() > MaxBodyBytes) {
         // Read on for a while: a caller that still sends would lose the answer when the connection is closed.
-        request.stream().ignore(MaxIgnoredBytes);
+        request.stream().ignore(MaxDrainedBodyBytes);
         return fail(ErrorKind::BodyTooLarge, "at most " + std::to_string(MaxBodyBytes) + " bytes");
     }
     const bool known = request.hasContentLength();
@@ -46,27 +46,27 @@
 }
 
 /** Counts the requests that a planned stop waits for. */
-class OpenRequest
+class OpenRequestCounter
 {
 public:
-    explicit OpenRequest(std::atomic<int> &count)
+    explicit OpenRequestCounter(std::atomic<int> &count)
         : count(count)
     {
         ++this->count;
     }
-    ~OpenRequest()
+    ~OpenRequestCounter()
     {
         --this->count;
     }
-    OpenRequest(const OpenRequest &) = delete;
-    OpenRequest &operator=(const OpenRequest &) = delete;
+    OpenRequestCounter(const OpenRequestCounter &) = delete;
+    OpenRequestCounter &operator=(const OpenRequestCounter &) = delete;
 
 private:
     std::atomic<int> &count; ///< Outlives this.
 };
 
 /** The query's `since` (0 where it isn't given) and `limit` (at most MaxEvents). */
-std::pair<std::uint64_t, std::size_t> eventPageOf(const std::string &uri)
+std::pair<std::uint64_t, std::size_t> parseEventPage(const std::string &uri)
 {
     std::uint64_t since = 0;
     std::size_t limit = MaxEvents;
@@ -91,11 +91,11 @@
 void RequestHandler::handleRequest(Request &request, Response &response)
 {
     metrics().add(MetricKind::RequestsTotal);
-    const OpenRequest open(this->context.openRequests);
-    HttpAnswerWriter answer(request, response, this->context.draining);
+    const OpenRequestCounter openRequest(this->context.openRequests);
+    HttpResponseWriter writer(request, response, this->context.draining);
     Error error{ErrorKind::Internal, "", Ran::Unknown, 0};
     try {
-        this->route(request, answer);
+        this->route(request, writer);
         return;
     } catch (const std::exception &exception) {
         error.what = exception.what();
@@ -104,35 +104,35 @@
     }
     logEvent(EventKind::RequestRejected, {{"error", error.what}});
     if (!response.sent()) {
-        replyError(answer, error);
+        replyError(writer, error);
     }
 }
 
-void RequestHandler::route(Request &request, HttpAnswerWriter &answer)
+void RequestHandler::route(Request &request, HttpResponseWriter &writer)
 {
     const Poco::URI uri(request.getURI());
     std::vector<std::string> path;
     uri.getPathSegments(path);
     if (path == std::vector<std::string>{"healthz"}) {
-        replyText(answer, 200, "text/plain", "ok\n");
+        replyText(writer, 200, "text/plain", "ok\n");
     } else if (path == std::vector<std::string>{"readyz"}) {
-        this->readyz(answer);
+        this->readyz(writer);
     } else if (path == std::vector<std::string>{"metrics"}) {
-        replyText(answer, 200, "text/plain; version=0.0.4", metrics().renderText());
+        replyText(writer, 200, "text/plain; version=0.0.4", metrics().renderText());
     } else if (path == std::vector<std::string>{"v1", "events"}) {
-        const auto [since, limit] = eventPageOf(request.getURI());
-        replyJson(answer, 200, processEvents().toJson(since, limit));
+        const auto [since, limit] = parseEventPage(request.getURI());
+        replyJson(writer, 200, processEvents().toJson(since, limit));
     } else if (path == std::vector<std::string>{"v1", "entries"}) {
-        this->entries(request, answer);
+        this->listEntries(request, writer);
     } else if (path.size() >= 2 && path[0] == "v1"
         && (path[1] == "programs" || path[1] == "chat" || path[1] == "services")) {
-        this->serveCaller(request, answer, path);
+        this->serveClient(request, writer, path);
     } else {
-        replyError(answer, Error{ErrorKind::NotFound, "no route " + uri.getPath(), Ran::No, 0});
+        replyError(writer, Error{ErrorKind::NotFound, "no route " + uri.getPath(), Ran::No, 0});
     }
 }
 
-void RequestHandler::readyz(HttpAnswerWriter &answer)
+void RequestHandler::readyz(HttpResponseWriter &writer)
 {
     bool ready = true;
     std::string children;
@@ -145,11 +145,11 @@
             + (state.ready ? "true" : "false") + R"(,"error":)"
             + jsonQuoted(state.error ? errorText(*state.error) : std::string()) + "}";
     }
-    replyJson(answer, ready ? 200 : 503,
+    replyJson(writer, ready ? 200 : 503,
         R"({"ready":)" + std::string(ready ? "true" : "false") + R"(,"children":[)" + children + "]}");
 }
 
-void RequestHandler::entries(Request &request, HttpAnswerWriter &answer)
+void RequestHandler::listEntries(Request &request, HttpResponseWriter &writer)
 {
     const auto view = this->context.follower.views.get();
     std::vector<EntryRecord> live;
@@ -174,10 +174,10 @@
         list += (list.empty() ? "" : ",") + (R"({"address":)" + jsonQuoted(entry.address)) + R"(,"data_centre":)"
             + jsonQuoted(entry.dataCentre.text) + "}";
     }
-    replyJson(answer, 200, R"({"entries":[)" + list + R"(],"ttl_ms":)" + std::to_string(DirectoryTtlMs) + "}");
+    replyJson(writer, 200, R"({"entries":[)" + list + R"(],"ttl_ms":)" + std::to_string(DirectoryTtlMs) + "}");
 }
 
-bool RequestHandler::isOpen(const Request &request, const std::vector<std::string> &path) const
+bool RequestHandler::isPublicRoute(const Request &request, const std::vector<std::string> &path) const
 {
     const auto view = this->context.follower.views.get();
     if (view == nullptr || path.size() < 3 || path[1] != "services") {
@@ -190,7 +190,7 @@
         && isOpenToAll(service->second, view->routes, request.getMethod(), uri.substr(prefix.size()));
 }
 
-Result<Caller> RequestHandler::authenticate(const Request &request, HttpAnswerWriter &answer)
+Result<ClientIdentity> RequestHandler::authenticate(const Request &request, HttpResponseWriter &writer)
 {
     const auto view = this->context.follower.views.get();
     if (view == nullptr || !this->context.follower.isFresh()) {
@@ -201,47 +201,47 @@
         return fail(ErrorKind::UnknownKey, "no key came; send Authorization: Bearer KEY");
     }
     const std::string hash = sha256Raw(header.substr(BearerPrefix.size()));
-    const auto caller = view->callers.find(hash);
-    if (caller == view->callers.end()) {
+    const auto client = view->clients.find(hash);
+    if (client == view->clients.end()) {
         return fail(ErrorKind::UnknownKey, "");
     }
-    answer.isKeyValid = [&views = this->context.follower.views, hash]() {
-        return views.get()->callers.contains(hash);
+    writer.isKeyValid = [&views = this->context.follower.views, hash]() {
+        return views.get()->clients.contains(hash);
     };
-    return caller->second;
+    return client->second;
 }
 
-void RequestHandler::serveCaller(Request &request, HttpAnswerWriter &answer, const std::vector<std::string> &path)
+void RequestHandler::serveClient(Request &request, HttpResponseWriter &writer, const std::vector<std::string> &path)
 {
-    const Result<Caller> caller = this->authenticate(request, answer);
-    const bool open = !caller && caller.error().kind == ErrorKind::UnknownKey && this->isOpen(request, path);
-    if (!caller && !open) {
-        replyError(answer, caller.error());
+    const Result<ClientIdentity> client = this->authenticate(request, writer);
+    const bool isPublic = !client && client.error().kind == ErrorKind::UnknownKey && this->isPublicRoute(request, path);
+    if (!client && !isPublic) {
+        replyError(writer, client.error());
         return;
     }
     Result<std::string> body = readBody(request);
     if (!body) {
-        replyError(answer, body.error());
+        replyError(writer, body.error());
         return;
     }
-    CallerRequest asked;
-    asked.method = request.getMethod();
-    asked.uri = request.getURI();
-    asked.path = path;
-    asked.contentType =
+    ClientRequest clientRequest;
+    clientRequest.method = request.getMethod();
+    clientRequest.uri = request.getURI();
+    clientRequest.path = path;
+    clientRequest.contentType =
         request.getContentType() == Poco::Net::HTTPMessage::UNKNOWN_CONTENT_TYPE ? "" : request.getContentType();
-    asked.idempotencyKey = request.get("Idempotency-Key", "");
-    asked.program = request.get("X-Program-Id", "");
-    asked.body = std::move(*body);
-    asked.caller = open ? Caller{} : *caller;
-    ProgramService service(this->context, answer, asked);
+    clientRequest.idempotencyKey = request.get("Idempotency-Key", "");
+    clientRequest.program = request.get("X-Program-Id", "");
+    clientRequest.body = std::move(*body);
+    clientRequest.client = isPublic ? ClientIdentity{} : *client;
+    ProgramService service(this->context, writer, clientRequest);
     Result<void> admitted = service.check();
-    const bool counted = asked.method != "GET" || path[1] == "services";
-    if (admitted && !open && counted && asked.method != "DELETE") {
-        admitted = this->context.admission.admit(asked.caller);
+    const bool rateLimited = clientRequest.method != "GET" || path[1] == "services";
+    if (admitted && !isPublic && rateLimited && clientRequest.method != "DELETE") {
+        admitted = this->context.admission.admit(clientRequest.client);
     }
     if (!admitted) {
-        replyError(answer, admitted.error());
+        replyError(writer, admitted.error());
         return;
     }
     service.serve();
--- a/src/entry/request_handler_base.h
+++ b/src/entry/request_handler_base.h
@@ -9,8 +9,8 @@
 #include <Poco/Net/HTTPServerRequest.h>
 #include <Poco/Net/HTTPServerResponse.h>
 
-#include "entry/answer_writer_base.h"
 #include "entry/entry_context_type.h"
+#include "entry/response_writer_base.h"
 
 namespace Chestnuthook
 {
@@ -25,16 +25,16 @@
     using Request = Poco::Net::HTTPServerRequest;
     using Response = Poco::Net::HTTPServerResponse;
 
-    void route(Request &request, HttpAnswerWriter &answer);
-    void serveCaller(Request &request, HttpAnswerWriter &answer, const std::vector<std::string> &path);
-    void entries(Request &request, HttpAnswerWriter &answer);
-    void readyz(HttpAnswerWriter &answer);
+    void route(Request &request, HttpResponseWriter &writer);
+    void serveClient(Request &request, HttpResponseWriter &writer, const std::vector<std::string> &path);
+    void listEntries(Request &request, HttpResponseWriter &writer);
+    void readyz(HttpResponseWriter &writer);
 
     /** Whom the request runs for. Errors: UnknownKey, NotReady. */
-    Result<Caller> authenticate(const Request &request, HttpAnswerWriter &answer);
+    Result<ClientIdentity> authenticate(const Request &request, HttpResponseWriter &writer);
 
     /** Whether the request is to a service that needs no key. */
-    bool isOpen(const Request &request, const std::vector<std::string> &path) const;
+    bool isPublicRoute(const Request &request, const std::vector<std::string> &path) const;
 
     EntryContext &context; ///< Of the entry.
 };
--- a/src/entry/request_limits_func.cpp
+++ b/src/entry/request_limits_func.cpp
@@ -9,58 +9,58 @@
 namespace
 {
 
-constexpr std::uint8_t LineEndsAfterHeader = 2;
+constexpr std::uint8_t HeaderEndNewlines = 2;
 
 } // namespace
 
-LimitVerdict RequestMeter::take(std::string_view bytes, Instant now)
+LimitVerdict RequestMeter::consume(std::string_view bytes, Instant now)
 {
     if (bytes.empty()) {
-        return LimitVerdict::Within;
+        return LimitVerdict::WithinLimits;
     }
-    if (this->total == 0) {
-        this->began = now;
+    if (this->requestBytes == 0) {
+        this->startedAt = now;
     }
-    this->total += bytes.size();
-    if (!this->headerEnded) {
+    this->requestBytes += bytes.size();
+    if (!this->headerComplete) {
         this->findHeaderEnd(bytes);
     }
-    if (this->header > this->limits.headerBytes) {
+    if (this->headerBytes > this->limits.maxHeaderBytes) {
         return LimitVerdict::HeaderTooLarge;
     }
-    if (this->total > this->limits.requestBytes) {
+    if (this->requestBytes > this->limits.maxRequestBytes) {
         return LimitVerdict::RequestTooLarge;
     }
-    return now - this->began > this->limits.sendTime ? LimitVerdict::TooSlow : LimitVerdict::Within;
+    return now - this->startedAt > this->limits.sendTimeout ? LimitVerdict::TooSlow : LimitVerdict::WithinLimits;
 }
 
 void RequestMeter::findHeaderEnd(std::string_view bytes)
 {
     for (const char byte : bytes) {
-        this->header += 1;
+        this->headerBytes += 1;
         if (byte == '\n') {
-            this->lineEnds += 1;
+            this->consecutiveNewlines += 1;
         } else if (byte != '\r') {
-            this->lineEnds = 0;
+            this->consecutiveNewlines = 0;
         }
-        if (this->lineEnds == LineEndsAfterHeader) {
-            this->headerEnded = true;
+        if (this->consecutiveNewlines == HeaderEndNewlines) {
+            this->headerComplete = true;
             return;
         }
     }
 }
 
-void RequestMeter::answered()
+void RequestMeter::onResponse()
 {
-    this->total = 0;
-    this->header = 0;
-    this->lineEnds = 0;
-    this->headerEnded = false;
+    this->requestBytes = 0;
+    this->headerBytes = 0;
+    this->consecutiveNewlines = 0;
+    this->headerComplete = false;
 }
 
-Duration RequestMeter::timeLeft(Instant now) const
+Duration RequestMeter::remainingTime(Instant now) const
 {
-    return std::max(Duration(0), this->limits.sendTime - (now - this->began));
+    return std::max(Duration(0), this->limits.sendTimeout - (now - this->startedAt));
 }
 
 } // namespace Chestnuthook
--- a/src/entry/request_limits_type.h
+++ b/src/entry/request_limits_type.h
@@ -14,15 +14,15 @@
 /** Bounds at one entry. */
 struct RequestLimits
 {
-    std::size_t headerBytes = 32UL * 1024; ///< Of the request line and headers.
-    std::size_t requestBytes =
+    std::size_t maxHeaderBytes = 32UL * 1024; ///< Of the request line and headers.
+    std::size_t maxRequestBytes =
         10UL * 1024 * 1024; ///< Of the whole request; the body's own bound is answered before it.
-    Duration sendTime = std::chrono::seconds(10); ///< From a request's first byte to its last.
-    int connectionsPerCaller = 512; ///< From one address.
-    int connections = 1024; ///< From all addresses; each has a thread.
+    Duration sendTimeout = std::chrono::seconds(10); ///< From a request's first byte to its last.
+    int maxConnectionsPerAddress = 512; ///< From one address.
+    int maxConnections = 1024; ///< From all addresses; each has a thread.
 };
 
-enum class LimitVerdict : std::uint8_t { Within, HeaderTooLarge, RequestTooLarge, TooSlow };
+enum class LimitVerdict : std::uint8_t { WithinLimits, HeaderTooLarge, RequestTooLarge, TooSlow };
 
 /** Measures the requests of one connection, one after the other. */
 class RequestMeter
@@ -34,29 +34,29 @@
     }
 
     /** Counts bytes that came. The first ones start the time of a request. */
-    LimitVerdict take(std::string_view bytes, Instant now);
+    LimitVerdict consume(std::string_view bytes, Instant now);
 
     /** An answer is being sent: what comes next is another request. */
-    void answered();
+    void onResponse();
 
     /** Whether part of a request has come and its answer has not begun. */
-    [[nodiscard]] bool underWay() const
+    [[nodiscard]] bool isInProgress() const
     {
-        return this->total > 0;
+        return this->requestBytes > 0;
     }
 
     /** How long the rest may still take; zero where the time is over. */
-    [[nodiscard]] Duration timeLeft(Instant now) const;
+    [[nodiscard]] Duration remainingTime(Instant now) const;
 
 private:
     void findHeaderEnd(std::string_view bytes);
 
     RequestLimits limits; ///< The bounds.
-    Instant began; ///< When the first byte of the request under way came.
-    std::size_t total = 0; ///< Bytes of the request under way.
-    std::size_t header = 0; ///< Those of its header.
-    std::uint8_t lineEnds = 0; ///< Line ends seen in a row; two end the header.
-    bool headerEnded = false; ///< The rest is body.
+    Instant startedAt; ///< When the first byte of the request under way came.
+    std::size_t requestBytes = 0; ///< Bytes of the request under way.
+    std::size_t headerBytes = 0; ///< Those of its header.
+    std::uint8_t consecutiveNewlines = 0; ///< Line ends seen in a row; two end the header.
+    bool headerComplete = false; ///< The rest is body.
 };
 
 } // namespace Chestnuthook
--- a/src/entry/answer_writer_base.cpp
+++ b/src/entry/response_writer_base.cpp
@@ -1,5 +1,5 @@
-/** @file answer_writer_base.cpp  Answers on the caller's connection. */
-#include "entry/answer_writer_base.h"
+/** @file response_writer_base.cpp  Answers on the caller's connection. */
+#include "entry/response_writer_base.h"
 
 #include <ostream>
 
@@ -25,17 +25,17 @@
 
 } // namespace
 
-HttpAnswerWriter::HttpAnswerWriter(
-    Poco::Net::HTTPServerRequest &request, Poco::Net::HTTPServerResponse &response, bool closeAfterwards)
+HttpResponseWriter::HttpResponseWriter(
+    Poco::Net::HTTPServerRequest &request, Poco::Net::HTTPServerResponse &response, bool closeConnection)
     : response(response)
     , socket(socketOf(request))
 {
-    if (closeAfterwards) {
+    if (closeConnection) {
         this->response.setKeepAlive(false);
     }
 }
 
-void HttpAnswerWriter::start(int status, const std::vector<HttpHeader> &headers, std::int64_t length)
+void HttpResponseWriter::start(int status, const std::vector<HttpHeader> &headers, std::int64_t length)
 {
     this->response.setStatusAndReason(static_cast<Poco::Net::HTTPResponse::HTTPStatus>(status));
     for (const HttpHeader &header : headers) {
@@ -49,34 +49,34 @@
     this->stream = &this->response.send();
 }
 
-bool HttpAnswerWriter::write(std::string_view bytes)
+bool HttpResponseWriter::write(std::string_view bytes)
 {
     *this->stream << bytes << std::flush;
-    this->broken = this->broken || !this->stream->good();
-    return !this->broken;
+    this->writeFailed = this->writeFailed || !this->stream->good();
+    return !this->writeFailed;
 }
 
-void HttpAnswerWriter::end()
+void HttpResponseWriter::end()
 {
     if (this->stream != nullptr) {
         this->stream->flush();
     }
 }
 
-bool HttpAnswerWriter::isGone()
+bool HttpResponseWriter::isAbandoned()
 {
     pollfd watched{this->socket, POLLRDHUP, 0};
     const bool closed = this->socket >= 0 && ::poll(&watched, 1, 0) > 0
         && (watched.revents & (POLLRDHUP | POLLHUP | POLLERR | POLLNVAL)) != 0;
-    const bool withdrawn = this->isKeyValid && !this->isKeyValid();
-    if (withdrawn && !closed && !this->broken && !this->told) {
-        this->told = true;
-        this->tellWithdrawn();
+    const bool keyWithdrawn = this->isKeyValid && !this->isKeyValid();
+    if (keyWithdrawn && !closed && !this->writeFailed && !this->errorSent) {
+        this->errorSent = true;
+        this->sendKeyWithdrawn();
     }
-    return this->broken || closed || withdrawn;
+    return this->writeFailed || closed || keyWithdrawn;
 }
 
-void HttpAnswerWriter::tellWithdrawn()
+void HttpResponseWriter::sendKeyWithdrawn()
 {
     const Error error{ErrorKind::UnknownKey, "the key was withdrawn", Ran::Unknown, 0};
     if (this->isStarted()) {
@@ -86,28 +86,28 @@
     }
 }
 
-void replyText(AnswerWriter &answer, int status, const std::string &type, const std::string &body)
+void replyText(ResponseWriter &writer, int status, const std::string &type, const std::string &body)
 {
-    answer.start(status, {{"Content-Type", type}}, static_cast<std::int64_t>(body.size()));
-    answer.write(body);
-    answer.end();
+    writer.start(status, {{"Content-Type", type}}, static_cast<std::int64_t>(body.size()));
+    writer.write(body);
+    writer.end();
 }
 
-void replyJson(AnswerWriter &answer, int status, const std::string &body)
+void replyJson(ResponseWriter &writer, int status, const std::string &body)
 {
-    replyText(answer, status, "application/json", body);
+    replyText(writer, status, "application/json", body);
 }
 
-void replyError(AnswerWriter &answer, const Error &error)
+void replyError(ResponseWriter &writer, const Error &error)
 {
     const std::string body = errorJson(error);
     std::vector<HttpHeader> headers = {{"Content-Type", "application/json"}};
     if (error.retryAfterMs > 0) {
         headers.push_back({"Retry-After", std::to_string((error.retryAfterMs + 999) / 1000)});
     }
-    answer.start(errorRow(error.kind).httpStatus, headers, static_cast<std::int64_t>(body.size()));
-    answer.write(body);
-    answer.end();
+    writer.start(errorRow(error.kind).httpStatus, headers, static_cast<std::int64_t>(body.size()));
+    writer.write(body);
+    writer.end();
 }
 
 } // namespace Chestnuthook
--- a/src/entry/answer_writer_base.h
+++ b/src/entry/response_writer_base.h
@@ -1,4 +1,4 @@
-/** @file answer_writer_base.h  Where the answer to one request goes: to the caller's own connection, or through the
+/** @file response_writer_base.h  Where the answer to one request goes: to the caller's own connection, or through the
  * entry that the caller reached. */
 #pragma once
 
@@ -17,13 +17,13 @@
 {
 
 /** For one request on one traffic thread: start once, write any number of times, end once. */
-class AnswerWriter
+class ResponseWriter
 {
 public:
-    AnswerWriter() = default;
-    virtual ~AnswerWriter() = default;
-    AnswerWriter(const AnswerWriter &) = delete;
-    AnswerWriter &operator=(const AnswerWriter &) = delete;
+    ResponseWriter() = default;
+    virtual ~ResponseWriter() = default;
+    ResponseWriter(const ResponseWriter &) = delete;
+    ResponseWriter &operator=(const ResponseWriter &) = delete;
 
     /** @param length bytes of the body, or -1 for a stream. */
     virtual void start(int status, const std::vector<HttpHeader> &headers, std::int64_t length) = 0;
@@ -32,22 +32,22 @@
     virtual void end() = 0;
 
     /** Whether nobody waits for the answer any more: the caller has closed its connection, or its key was withdrawn. */
-    virtual bool isGone() = 0;
+    virtual bool isAbandoned() = 0;
 
     [[nodiscard]] virtual bool isStarted() const = 0;
 };
 
 /** Writes to the caller's connection. */
-class HttpAnswerWriter final : public AnswerWriter
+class HttpResponseWriter final : public ResponseWriter
 {
 public:
-    HttpAnswerWriter(
-        Poco::Net::HTTPServerRequest &request, Poco::Net::HTTPServerResponse &response, bool closeAfterwards);
+    HttpResponseWriter(
+        Poco::Net::HTTPServerRequest &request, Poco::Net::HTTPServerResponse &response, bool closeConnection);
 
     void start(int status, const std::vector<HttpHeader> &headers, std::int64_t length) override;
     bool write(std::string_view bytes) override;
     void end() override;
-    bool isGone() override;
+    bool isAbandoned() override;
     [[nodiscard]] bool isStarted() const override
     {
         return this->stream != nullptr;
@@ -57,22 +57,22 @@
 
 private:
     /** Ends the answer by an error: the caller is connected, but may have nothing more. */
-    void tellWithdrawn();
+    void sendKeyWithdrawn();
 
     Poco::Net::HTTPServerResponse &response; ///< Outlives this.
     int socket; ///< The caller's connection, to see whether it was closed.
     std::ostream *stream = nullptr; ///< Set by start.
-    bool broken = false; ///< A write failed.
-    bool told = false; ///< The caller was told that its key was withdrawn.
+    bool writeFailed = false; ///< A write failed.
+    bool errorSent = false; ///< The caller was told that its key was withdrawn.
 };
 
 /** Sends @p body as JSON. */
-void replyJson(AnswerWriter &answer, int status, const std::string &body);
+void replyJson(ResponseWriter &writer, int status, const std::string &body);
 
 /** Sends text of another type. */
-void replyText(AnswerWriter &answer, int status, const std::string &type, const std::string &body);
+void replyText(ResponseWriter &writer, int status, const std::string &type, const std::string &body);
 
 /** Sends @p error with its code, message, remedy, and whether the request ran. */
-void replyError(AnswerWriter &answer, const Error &error);
+void replyError(ResponseWriter &writer, const Error &error);
 
 } // namespace Chestnuthook
--- a/src/entry/tls_certificate_base.cpp
+++ b/src/entry/tls_certificate_base.cpp
@@ -16,11 +16,11 @@
 namespace
 {
 
-constexpr auto LookPeriod = std::chrono::seconds(1);
+constexpr auto FileCheckInterval = std::chrono::seconds(1);
 constexpr int VerifyDepth = 9;
 constexpr const char *Ciphers = "HIGH:!aNULL:!MD5:!3DES";
 
-std::string timeOf(const std::string &path)
+std::string modificationTime(const std::string &path)
 {
     std::error_code error;
     const auto time = std::filesystem::last_write_time(path, error);
@@ -36,15 +36,15 @@
     Poco::Net::initializeSSL();
 }
 
-std::string TlsCertificate::changeMark() const
+std::string TlsCertificate::fileTimestamps() const
 {
-    return timeOf(this->certificateFile) + "/" + timeOf(this->keyFile);
+    return modificationTime(this->certificateFile) + "/" + modificationTime(this->keyFile);
 }
 
 Result<void> TlsCertificate::load()
 {
     const std::scoped_lock lock(this->mutex);
-    this->loadedMark = this->changeMark();
+    this->loadedTimestamps = this->fileTimestamps();
     try {
         Poco::Net::Context::Ptr next = new Poco::Net::Context(Poco::Net::Context::TLS_SERVER_USE, this->keyFile,
             this->certificateFile, "", Poco::Net::Context::VERIFY_NONE, VerifyDepth, false, Ciphers);
@@ -62,9 +62,9 @@
     {
         const std::scoped_lock lock(this->mutex);
         const auto now = std::chrono::steady_clock::now();
-        if (now - this->looked >= LookPeriod) {
-            this->looked = now;
-            changed = this->changeMark() != this->loadedMark;
+        if (now - this->lastCheck >= FileCheckInterval) {
+            this->lastCheck = now;
+            changed = this->fileTimestamps() != this->loadedTimestamps;
         }
     }
     if (changed) {
--- a/src/entry/tls_certificate_base.h
+++ b/src/entry/tls_certificate_base.h
@@ -29,14 +29,14 @@
     [[nodiscard]] Poco::Net::Context::Ptr current();
 
 private:
-    std::string changeMark() const;
+    std::string fileTimestamps() const;
 
     const std::string certificateFile; ///< PEM.
     const std::string keyFile; ///< PEM.
     std::mutex mutex; ///< Guards all below.
     Poco::Net::Context::Ptr context; ///< In use.
-    std::string loadedMark; ///< Times of the files when they were read last.
-    std::chrono::steady_clock::time_point looked; ///< When the files were looked at last.
+    std::string loadedTimestamps; ///< Times of the files when they were read last.
+    std::chrono::steady_clock::time_point lastCheck; ///< When the files were looked at last.
 };
 
 } // namespace Chestnuthook
--- a/tests/unit/fleet_view_test.cpp
+++ b/tests/unit/fleet_view_test.cpp
@@ -69,7 +69,7 @@
 std::string describe(const FleetView &view)
 {
     std::map<std::string, std::string> lines;
-    for (const auto &[hash, caller] : view.callers) {
+    for (const auto &[hash, caller] : view.clients) {
         lines["caller " + toHex(hash)] = caller.tenant.text + "/" + caller.key.text;
     }
     for (const auto &[id, tenant] : view.tenants) {
@@ -113,7 +113,7 @@
         BOOST_REQUIRE(copy.applyDelta(delta.asReader()));
         view = delta.getWhole() ? makeView(copy) : updateView(*view, copy, before);
         BOOST_REQUIRE_EQUAL(describe(*view), describe(*makeView(leader)));
-        withKeys += view->callers.empty() ? 0 : 1;
+        withKeys += view->clients.empty() ? 0 : 1;
     }
     BOOST_TEST(withKeys > Steps / 4);
 }
--- a/tests/unit/limits_test.cpp
+++ b/tests/unit/limits_test.cpp
@@ -17,23 +17,23 @@
 LimitVerdict feed(RequestMeter &meter, const std::string &text, std::size_t size, Duration pause, Instant &now)
 {
     for (std::size_t at = 0; at < text.size(); at += size) {
-        const LimitVerdict verdict = meter.take(std::string_view(text).substr(at, size), now);
-        if (verdict != LimitVerdict::Within) {
+        const LimitVerdict verdict = meter.consume(std::string_view(text).substr(at, size), now);
+        if (verdict != LimitVerdict::WithinLimits) {
             return verdict;
         }
         now += pause;
     }
-    return LimitVerdict::Within;
+    return LimitVerdict::WithinLimits;
 }
 
 RequestLimits smallLimits()
 {
     RequestLimits limits;
-    limits.headerBytes = 1000;
-    limits.requestBytes = 100'000;
-    limits.sendTime = std::chrono::seconds(10);
-    limits.connectionsPerCaller = 2;
-    limits.connections = 3;
+    limits.maxHeaderBytes = 1000;
+    limits.maxRequestBytes = 100'000;
+    limits.sendTimeout = std::chrono::seconds(10);
+    limits.maxConnectionsPerAddress = 2;
+    limits.maxConnections = 3;
     return limits;
 }
 
@@ -54,7 +54,8 @@
     for (const std::size_t size : {1UL, 7UL, 4096UL}) {
         RequestMeter meter(smallLimits());
         Instant now;
-        BOOST_TEST((feed(meter, Header + std::string(90'000, 'b'), size, Duration(0), now) == LimitVerdict::Within));
+        BOOST_TEST(
+            (feed(meter, Header + std::string(90'000, 'b'), size, Duration(0), now) == LimitVerdict::WithinLimits));
         BOOST_TEST((feed(meter, std::string(20'000, 'b'), size, Duration(0), now) == LimitVerdict::RequestTooLarge));
     }
 }
@@ -66,7 +67,7 @@
     const LimitVerdict verdict = feed(meter, Header, 1, std::chrono::seconds(1), now);
     BOOST_TEST((verdict == LimitVerdict::TooSlow));
     BOOST_TEST((now > Instant() + std::chrono::seconds(10)));
-    BOOST_TEST((meter.timeLeft(now) == Duration(0)));
+    BOOST_TEST((meter.remainingTime(now) == Duration(0)));
 }
 
 BOOST_AUTO_TEST_CASE(time_between_requests_and_in_answers_is_not_counted)
@@ -74,11 +75,11 @@
     RequestMeter meter(smallLimits());
     Instant now;
     for (int request = 0; request < 5; ++request) {
-        BOOST_TEST((feed(meter, Header, 16, std::chrono::milliseconds(1), now) == LimitVerdict::Within));
-        BOOST_TEST(meter.underWay());
+        BOOST_TEST((feed(meter, Header, 16, std::chrono::milliseconds(1), now) == LimitVerdict::WithinLimits));
+        BOOST_TEST(meter.isInProgress());
         now += std::chrono::seconds(60);
-        meter.answered();
-        BOOST_TEST(!meter.underWay());
+        meter.onResponse();
+        BOOST_TEST(!meter.isInProgress());
         now += std::chrono::seconds(60);
     }
 }
