--- a/src/entry/entry_context_type.h
+++ b/src/entry/entry_context_type.h
@@ -1,4 +1,4 @@
-/** @file entry_context_type.h  What an entry's traffic threads share. */
+/** @file entry_context_type.h  State that the traffic threads of an entry share. */
 #pragma once
 
 #include <atomic>
@@ -34,20 +34,20 @@
     {
     }
 
-    ControlLoop &loop; ///< Way to the control thread.
-    FleetFollower &follower; ///< Its views may be read by traffic threads; all else by the control thread only.
+    ControlLoop &loop; ///< Runs functions on the control thread.
+    FleetFollower &follower; ///< For the control thread only, except its views, which any thread may read.
     ProgramRuntime &programs; ///< For the control thread only.
     Quarantine &quarantine; ///< For the control thread only.
-    Supervisor *root = nullptr; ///< For /readyz; control thread only.
-    PeerLinks &peers; ///< Other entries; control thread only.
-    AdmissionGate admission; ///< Tenants' rates.
-    Dispatch dispatch; ///< Endpoints.
-    AttemptDeadlines deadlines; ///< Ends attempts whose time has run out.
-    WorkerPool workers; ///< Run calls.
-    EntryId self; ///< Of this process.
-    DataCentreId dataCentre; ///< Of this instance.
-    std::atomic<bool> draining = false; ///< A planned stop has begun.
-    std::atomic<int> openRequests = 0; ///< Requests being served, forwarded ones too.
+    Supervisor *root = nullptr; ///< Supervision tree, for /readyz; for the control thread only.
+    PeerLinks &peers; ///< Connections to other entries; for the control thread only.
+    AdmissionGate admission; ///< Rate limits of the customers.
+    Dispatch dispatch; ///< Chooses endpoints and limits the work in flight at each.
+    AttemptDeadlines deadlines; ///< Cancels attempts at their deadline.
+    WorkerPool workers; ///< Threads that run calls.
+    EntryId self; ///< Id of this process.
+    DataCentreId dataCentre; ///< Data centre of this instance.
+    std::atomic<bool> draining = false; ///< A graceful shutdown has started.
+    std::atomic<int> openRequests = 0; ///< Requests in progress, including those forwarded by other entries.
 };
 
 } // namespace Chestnuthook
--- a/src/entry/entry_daemon_base.cpp
+++ b/src/entry/entry_daemon_base.cpp
@@ -1,4 +1,4 @@
-/** @file entry_daemon_base.cpp  Wires an entry's parts together. */
+/** @file entry_daemon_base.cpp  Connects the components of an entry. */
 #include "entry/entry_daemon_base.h"
 
 #include <algorithm>
@@ -17,10 +17,10 @@
 
 constexpr auto ListPollInterval = std::chrono::milliseconds(300);
 
-/** How long callers go on using an address that the directory gave them. */
+/** How long clients may go on using an address that the entry directory returned. */
 constexpr Duration DirectoryMaxAge = std::chrono::milliseconds(2500);
 
-/** A call's own deadline is shorter, so this ends only what hangs in the process itself. */
+/** Longer than the deadline of any call, so that only work that hangs in the process itself is cut off. */
 constexpr auto MaxDrainTime = std::chrono::seconds(120);
 constexpr auto DrainCheckInterval = std::chrono::milliseconds(50);
 
@@ -190,7 +190,7 @@
         const bool listed = std::any_of(list->begin(), list->end(), [&](const ListedEndpoint &row) {
             return row.id == endpoint;
         });
-        // What is neither listed nor reachable holds no memory any more.
+        // An endpoint that is neither listed nor reachable has gone, and its cache with it.
         const bool confirmed = (outcome.complete && outcome.status == 200) || (!outcome.sent && !listed);
         if (!confirmed) {
             std::this_thread::sleep_for(ReleaseRetryInterval);
--- a/src/entry/entry_daemon_base.h
+++ b/src/entry/entry_daemon_base.h
@@ -1,4 +1,4 @@
-/** @file entry_daemon_base.h  The parts of an entry and the tree that supervises them. */
+/** @file entry_daemon_base.h  The components of an entry and their supervision tree. */
 #pragma once
 
 #include <atomic>
@@ -13,17 +13,17 @@
 namespace Chestnuthook
 {
 
-/** Checked settings of an entry. */
+/** Validated settings of an entry. */
 struct EntrySettings
 {
-    std::string address; ///< For callers, ip:port.
-    std::string rpcAddress; ///< For other entries, ip:port.
-    std::vector<std::string> controls; ///< Control members, ip:port.
-    std::string platform; ///< Instance list, ip:port.
-    EntryId id; ///< Of this process.
-    DataCentreId dataCentre; ///< Of this instance.
-    std::string secret; ///< The fleet's secret.
-    ClientPortSettings clientPort; ///< Limits and certificate of the callers' port.
+    std::string address; ///< Listen address for clients, ip:port.
+    std::string rpcAddress; ///< Listen address for other entries, ip:port.
+    std::vector<std::string> controls; ///< Addresses of the control members, ip:port.
+    std::string platform; ///< Address of the platform's instance list, ip:port.
+    EntryId id; ///< Id of this process.
+    DataCentreId dataCentre; ///< Data centre of this instance.
+    std::string secret; ///< Shared secret of the fleet.
+    ClientPortSettings clientPort; ///< Limits and certificate of the port for clients.
 };
 
 class EntryDaemon
@@ -34,11 +34,11 @@
     EntryDaemon(const EntryDaemon &) = delete;
     EntryDaemon &operator=(const EntryDaemon &) = delete;
 
-    /** Runs until SIGTERM or SIGINT, then stops gracefully. Errors: AddressInUse. */
+    /** Runs until SIGTERM or SIGINT, then shuts down gracefully. Errors: AddressInUse. */
     Result<void> run();
 
 private:
-    /** The supervisor's table, in start order: each row leans on those above it. */
+    /** The child specifications of the supervisor in start order; each child depends on those before it. */
     std::vector<ChildSpecification> children();
     Result<void> startListPoll();
     void stopListPoll();
@@ -53,20 +53,20 @@
     void drain();
     void releaseCache(const ProgramId &program, const EndpointId &endpoint);
 
-    EntrySettings settings; ///< As checked.
-    ControlLoop loop; ///< The control thread's.
-    ControlClient client; ///< To the control members.
-    FleetFollower follower; ///< The copy of the fleet state.
-    PeerLinks peers; ///< Other entries.
-    ProgramRuntime programs; ///< Owned programs.
+    EntrySettings settings; ///< Validated settings.
+    ControlLoop loop; ///< Event loop of the control thread.
+    ControlClient client; ///< Client of the control members.
+    FleetFollower follower; ///< Maintains the copy of the fleet state.
+    PeerLinks peers; ///< Connections to other entries.
+    ProgramRuntime programs; ///< Programs that this entry owns.
     Quarantine quarantine; ///< Requests that crash endpoints.
-    EntryContext context; ///< Shared with traffic threads.
-    EntryServer server; ///< Callers.
-    std::optional<Error> fatalError; ///< Why the daemon ends by itself.
-    TimerSubscription deadlineTimer; ///< Ends attempts whose time has run out.
-    std::atomic<bool> polling = false; ///< The list is polled.
-    std::thread listPollThread; ///< Polls the platform's list.
-    std::thread drainThread; ///< Ends the server while the control thread goes on.
+    EntryContext context; ///< State shared with the traffic threads.
+    EntryServer server; ///< HTTP server for clients.
+    std::optional<Error> fatalError; ///< Error that ends the daemon.
+    TimerSubscription deadlineTimer; ///< Cancels attempts at their deadline.
+    std::atomic<bool> polling = false; ///< False to stop listPollThread.
+    std::thread listPollThread; ///< Polls the platform's instance list.
+    std::thread drainThread; ///< Waits for open requests and stops the server while the control thread keeps running.
 };
 
 } // namespace Chestnuthook
--- a/src/entry/http_reply_func.cpp
+++ b/src/entry/http_reply_func.cpp
@@ -1,4 +1,4 @@
-/** @file http_reply_func.cpp  Bodies of answers. */
+/** @file http_reply_func.cpp  Builds the bodies of HTTP responses. */
 #include "entry/http_reply_func.h"
 
 #include <algorithm>
--- a/src/entry/http_reply_func.h
+++ b/src/entry/http_reply_func.h
@@ -1,4 +1,4 @@
-/** @file http_reply_func.h  Bodies of answers as callers see them. */
+/** @file http_reply_func.h  Bodies of HTTP responses to clients. */
 #pragma once
 
 #include <string>
@@ -9,17 +9,19 @@
 namespace Chestnuthook
 {
 
-/** The JSON of @p error as callers see it. */
+/** The body of an error response. */
 [[nodiscard]] std::string errorJson(const Error &error);
 
-/** A program with its calls and what is left of its budget. */
+/** A program with its calls and the rest of its budget. */
 [[nodiscard]] std::string programJson(const ProgramRecord &program);
 
-/** A whole chat completion. */
+/** A chat completion that is not streamed. */
 [[nodiscard]] std::string completionJson(const CallRecord &call, const std::string &model);
 
-/** One event of a streamed chat completion; @p last ends it. */
+/** The server-sent event for one piece of text of a streamed chat completion. */
 [[nodiscard]] std::string chunkEvent(const AttemptId &attempt, const std::string &model, std::string_view text);
+
+/** The server-sent events that end a streamed chat completion: finish reason, token usage and `[DONE]`. */
 [[nodiscard]] std::string finalEvents(const CallRecord &call, const std::string &model);
 
 } // namespace Chestnuthook
--- a/src/entry/http_server_base.h
+++ b/src/entry/http_server_base.h
@@ -1,4 +1,4 @@
-/** @file http_server_base.h  The callers' side of an entry: routes, keys and admission. */
+/** @file http_server_base.h  The HTTP server of an entry, through which clients send requests. */
 #pragma once
 
 #include <memory>
@@ -13,28 +13,29 @@
 namespace Chestnuthook
 {
 
-/** Settings of the callers' port. */
+/** Settings of the port for clients. */
 struct ClientPortSettings
 {
-    RequestLimits limits; ///< What one caller may make the entry hold.
-    std::string tlsCertificate; ///< PEM file; empty where callers connect without TLS.
-    std::string tlsKey; ///< PEM file.
+    RequestLimits limits; ///< Limits on requests and connections.
+    std::string tlsCertificate; ///< Path of a PEM file; empty to serve clients without TLS.
+    std::string tlsKey; ///< Path of a PEM file with the private key.
 };
 
-/** Serves callers on traffic threads, one for each connection. */
+/** Serves clients on traffic threads, one for each connection. */
 class EntryServer
 {
 public:
     explicit EntryServer(EntryContext &context);
 
-    /** Binds @p address. Errors: AddressInUse, BadSetting for a certificate that can't be used. */
+    /** Listens on @p address. Errors: AddressInUse; BadSetting if the certificate can't be loaded. */
     Result<void> start(const std::string &address, const ClientPortSettings &clientPort);
 
-    /** Ends open connections and joins the threads. Not for the control thread, on which they may wait. */
+    /** Closes open connections and joins the threads. Must not be called on the control thread, as a traffic thread may
+     * be waiting for it. */
     void stop();
 
 private:
-    EntryContext &context; ///< Of the entry.
+    EntryContext &context; ///< Shared state of the entry.
     std::unique_ptr<Poco::ThreadPool> threads; ///< One thread for each open connection.
     std::unique_ptr<Poco::Net::HTTPServer> server; ///< Null until started.
 };
--- a/src/entry/limited_socket_base.cpp
+++ b/src/entry/limited_socket_base.cpp
@@ -1,4 +1,4 @@
-/** @file limited_socket_base.cpp  Sockets that measure what comes in. */
+/** @file limited_socket_base.cpp  Client sockets that enforce the request limits. */
 #include "entry/limited_socket_base.h"
 
 #include <algorithm>
@@ -49,18 +49,20 @@
 {
     if (verdict == LimitVerdict::HeaderTooLarge) {
         return rawResponse("431 Request Header Fields Too Large",
-            Error{ErrorKind::BadRequest, "the header is over " + std::to_string(limits.maxHeaderBytes) + " bytes",
-                Ran::No, 0});
+            Error{ErrorKind::BadRequest,
+                "the header is larger than " + std::to_string(limits.maxHeaderBytes) + " bytes", Ran::No, 0});
     }
     if (verdict == LimitVerdict::RequestTooLarge) {
         return rawResponse("413 Content Too Large", Error{ErrorKind::BodyTooLarge, "", Ran::No, 0});
     }
     const auto seconds = std::chrono::duration_cast<std::chrono::seconds>(limits.sendTimeout).count();
     return rawResponse("408 Request Timeout",
-        Error{ErrorKind::BadRequest, "it did not come whole within " + std::to_string(seconds) + " s", Ran::No, 0});
+        Error{ErrorKind::BadRequest, "the request was not received completely within " + std::to_string(seconds) + " s",
+            Ran::No, 0});
 }
 
-/** Takes in what has come: closing with unread input would reset the connection before the caller read the answer. */
+/** Reads and discards pending input. Closing a socket with unread input resets the connection, and the client might
+ * never see the response. */
 void discardInput(int descriptor)
 {
     std::array<char, DiscardChunkBytes> chunk{};
@@ -71,7 +73,7 @@
     }
 }
 
-/** A connection's place in the counts. */
+/** Counts a connection for as long as it is open. */
 class CountedConnection
 {
 public:
@@ -94,14 +96,14 @@
     }
 
 protected:
-    const std::shared_ptr<ClientPort> port; ///< Outlives the connection.
+    const std::shared_ptr<ClientPort> port; ///< Shared by all connections of the port.
 
 private:
-    const std::string address; ///< The caller's, without port.
-    const bool withinLimits; ///< Whether it was not one too many.
+    const std::string address; ///< IP address of the client, without the port.
+    const bool withinLimits; ///< Whether no connection limit was exceeded when it was opened.
 };
 
-/** Measures the requests on a POCO socket; @p Base is a plain or a secure stream socket. */
+/** A POCO socket that measures the requests it receives; @p Base is a plain or a TLS stream socket. */
 template<typename Base>
 class LimitedSocket final : public Base, public CountedConnection
 {
@@ -113,7 +115,7 @@
         , meter(this->CountedConnection::port->limits)
     {
         if constexpr (std::is_same_v<Base, Poco::Net::SecureStreamSocketImpl>) {
-            this->acceptSSL(); // The handshake itself runs on the connection's own thread.
+            this->acceptSSL(); // Only sets up TLS: the handshake runs later, on the thread of the connection.
         }
     }
 
@@ -164,7 +166,7 @@
         return received;
     }
 
-    /** Answers, and ends what the request's handler may still do with the connection. */
+    /** Sends an error response and makes all further use of the connection fail. */
     [[noreturn]] void reject(LimitVerdict verdict)
     {
         if (!this->rejected) {
@@ -178,8 +180,8 @@
         throw Poco::Net::ConnectionAbortedException("the request is over a limit");
     }
 
-    RequestMeter meter; ///< Of the request under way.
-    bool rejected = false; ///< An answer of ours was sent; nothing follows it.
+    RequestMeter meter; ///< Measures the current request.
+    bool rejected = false; ///< The error response was sent; nothing may be sent after it.
 };
 
 class LimitedServerSocketImpl final : public Poco::Net::ServerSocketImpl
@@ -209,10 +211,10 @@
     }
 
 private:
-    const std::shared_ptr<ClientPort> port; ///< Shared with the connections.
+    const std::shared_ptr<ClientPort> port; ///< Shared by all connections of the port.
 };
 
-/** A server socket over an implementation of ours. */
+/** A server socket that accepts connections with request limits. */
 class LimitedServerSocket final : public Poco::Net::ServerSocket
 {
 public:
--- a/src/entry/limited_socket_base.h
+++ b/src/entry/limited_socket_base.h
@@ -1,5 +1,5 @@
-/** @file limited_socket_base.h  The callers' port: accepts connections, plain or under TLS, and holds each to the
- * request limits. Limits are applied at the socket, so that no route and no parser can be reached around them. */
+/** @file limited_socket_base.h  The port for clients: accepts connections with or without TLS and enforces the request
+ * limits on each. They are enforced at the socket, so that no route and no parser can bypass them. */
 #pragma once
 
 #include <map>
@@ -17,7 +17,7 @@
 namespace Chestnuthook
 {
 
-/** Counts open connections by address. Thread-safe. */
+/** Counts open connections in total and by IP address. Thread-safe. */
 class ConnectionCounts
 {
 public:
@@ -26,18 +26,19 @@
     {
     }
 
-    /** Counts one connection from @p address. @return false where that makes too many; count it down all the same. */
+    /** Counts a connection from @p address. @return false if that exceeds a limit; the caller must call `remove` in
+     * either case. */
     bool add(const std::string &address);
     void remove(const std::string &address);
 
 private:
-    const RequestLimits limits; ///< The bounds.
-    std::mutex mutex; ///< Guards all below.
-    std::map<std::string, int> byAddress; ///< Open connections of each address; none are zero.
-    int total = 0; ///< Sum of them.
+    const RequestLimits limits; ///< The limits to enforce.
+    std::mutex mutex; ///< Guards the members below.
+    std::map<std::string, int> byAddress; ///< Number of open connections by IP address; never 0.
+    int total = 0; ///< Number of open connections from all addresses.
 };
 
-/** What the callers' port needs; shared with its connections. */
+/** State of the port for clients, shared by its connections. */
 struct ClientPort
 {
     explicit ClientPort(const RequestLimits &limits)
@@ -46,16 +47,16 @@
     {
     }
 
-    const RequestLimits limits; ///< The bounds.
-    ConnectionCounts counts; ///< Open connections.
-    std::unique_ptr<TlsCertificate> certificate; ///< Null where callers connect without TLS.
+    const RequestLimits limits; ///< The limits to enforce.
+    ConnectionCounts counts; ///< Numbers of open connections.
+    std::unique_ptr<TlsCertificate> certificate; ///< Null if clients connect without TLS.
 };
 
-/** Binds @p address. @throws Poco::Exception where that fails. */
+/** Binds to @p address and listens. @throws Poco::Exception on failure. */
 [[nodiscard]] Poco::Net::ServerSocket listenForClients(
     const std::shared_ptr<ClientPort> &port, const std::string &address);
 
-/** Turns away connections that are too many; for Poco::Net::TCPServer. */
+/** Returns the filter with which Poco::Net::TCPServer rejects connections over a connection limit. */
 [[nodiscard]] Poco::Net::TCPServerConnectionFilter::Ptr makeConnectionFilter();
 
 } // namespace Chestnuthook
--- a/src/entry/main.cpp
+++ b/src/entry/main.cpp
@@ -1,4 +1,4 @@
-/** @file main.cpp  chestnuthook-entry: takes callers' requests, owns programs and dispatches calls to endpoints. */
+/** @file main.cpp  chestnuthook-entry: serves client requests, runs programs and dispatches calls to endpoints. */
 #include <cstdlib>
 #include <string>
 #include <vector>
@@ -12,19 +12,19 @@
 #include "rpc/fleet_security_base.h"
 #include "table/error_table.h"
 
-DEFINE_string(listen, "127.0.0.1:8080", "Address for callers, ip:port.");
-DEFINE_string(rpc_listen, "127.0.0.1:8081", "Address for the other entries, ip:port.");
+DEFINE_string(listen, "127.0.0.1:8080", "Address to listen on for clients, ip:port.");
+DEFINE_string(rpc_listen, "127.0.0.1:8081", "Address to listen on for other entries, ip:port.");
 DEFINE_string(controls, "127.0.0.1:7600", "Addresses of the control members, comma-separated.");
 DEFINE_string(platform, "127.0.0.1:7700", "Address of the platform's instance list, ip:port.");
 DEFINE_string(entry, "entry-1", "Name of this instance.");
 DEFINE_string(data_centre, "local", "Data centre of this instance.");
 DEFINE_string(secret_file, "", "File with the fleet's secret; else CHESTNUTHOOK_SECRET.");
-DEFINE_string(tls_certificate, "", "PEM file with the certificate shown to callers; empty: no TLS.");
-DEFINE_string(tls_key, "", "PEM file with the certificate's key.");
-DEFINE_int64(max_connections, 1024, "Open connections of all callers.");
-DEFINE_int64(max_connections_per_caller, 512, "Open connections from one address.");
-DEFINE_int64(max_header_bytes, 32768, "Bytes of a request's header.");
-DEFINE_int64(request_send_ms, 10000, "Time in which a caller must send a whole request, in milliseconds.");
+DEFINE_string(tls_certificate, "", "PEM file with the TLS certificate for clients; no TLS if empty.");
+DEFINE_string(tls_key, "", "PEM file with the private key of the certificate.");
+DEFINE_int64(max_connections, 1024, "Maximum number of open client connections.");
+DEFINE_int64(max_connections_per_caller, 512, "Maximum number of open connections from one IP address.");
+DEFINE_int64(max_header_bytes, 32768, "Maximum size of a request header, in bytes.");
+DEFINE_int64(request_send_ms, 10000, "Time in which a client must send a complete request, in milliseconds.");
 DEFINE_string(log_file, "", "File that gets the log lines besides standard output.");
 DEFINE_string(log_level, "info", "Lowest level of events that are logged: debug, info, warning or error.");
 
@@ -41,9 +41,9 @@
     {"entry", "identity", nonEmptyCheck(), "give a name that no other entry has"},
     {"data_centre", "identity", nonEmptyCheck(), "name the data centre of this instance"},
     {"secret_file", "security", {}, "name a readable file, or set CHESTNUTHOOK_SECRET"},
-    {"tls_certificate", "security", {}, "name a PEM file, and its key in tls_key"},
-    {"tls_key", "security", {}, "name a PEM file, and its certificate in tls_certificate"},
-    {"max_connections", "limits", rangeCheck(1, 100000), "give a number from 1; each connection takes a thread"},
+    {"tls_certificate", "security", {}, "set this to a PEM file, and tls_key to its private key"},
+    {"tls_key", "security", {}, "set this to a PEM file, and tls_certificate to its certificate"},
+    {"max_connections", "limits", rangeCheck(1, 100000), "give a number from 1; each connection occupies a thread"},
     {"max_connections_per_caller", "limits", rangeCheck(1, 100000), "give a number from 1"},
     {"max_header_bytes", "limits", rangeCheck(1024, 1048576), "give a number of bytes from 1024 to 1048576"},
     {"request_send_ms", "limits", rangeCheck(100, 600000), "give milliseconds from 100 to 600000"},
@@ -58,7 +58,7 @@
     settings.rpcAddress = FLAGS_rpc_listen;
     settings.controls = splitList(FLAGS_controls);
     settings.platform = FLAGS_platform;
-    // A restarted process is another entry: it must not act on the lease of the one before.
+    // A new id for each process: after a restart, an entry must not act on the lease of its previous incarnation.
     settings.id = EntryId{FLAGS_entry + "." + randomHex(4)};
     settings.dataCentre = DataCentreId{FLAGS_data_centre};
     settings.secret = std::move(secret);
--- a/src/entry/peer_links_base.h
+++ b/src/entry/peer_links_base.h
@@ -1,4 +1,4 @@
-/** @file peer_links_base.h  Links to the other entries, made on first use. */
+/** @file peer_links_base.h  Connections to the other entries, opened on first use. */
 #pragma once
 
 #include <map>
@@ -20,7 +20,7 @@
     {
     }
 
-    /** The entry at @p address. The promise fails where it can't be reached or authenticated. */
+    /** The RPC interface of the entry at @p address. The promise fails if it can't be reached or authenticated. */
     [[nodiscard]] kj::Promise<Wire::EntryPeer::Client> peer(const std::string &address)
     {
         auto &link = this->links[address];
@@ -32,7 +32,7 @@
         });
     }
 
-    /** Drops the connection after a call on it failed or timed out. */
+    /** Closes the connection after an RPC on it has failed or timed out. */
     void reset(const std::string &address)
     {
         const auto link = this->links.find(address);
@@ -43,7 +43,7 @@
 
 private:
     RpcContext &context; ///< Outlives this.
-    std::map<std::string, std::unique_ptr<RpcLink>> links; ///< By rpc address.
+    std::map<std::string, std::unique_ptr<RpcLink>> links; ///< Connections by RPC address.
 };
 
 } // namespace Chestnuthook
--- a/src/entry/program_command_internal.h
+++ b/src/entry/program_command_internal.h
@@ -1,4 +1,4 @@
-/** @file program_command_internal.h  Parts that the files of ProgramRuntime share. */
+/** @file program_command_internal.h  Helpers shared by the source files of ProgramRuntime. */
 #pragma once
 
 #include <capnp/message.h>
@@ -13,6 +13,7 @@
 
 using JournalMessage = capnp::MallocMessageBuilder;
 
+/** Starts a journal command on the slot of @p program. */
 inline Wire::JournalCommand::Builder initCommand(JournalMessage &message, const ProgramId &program, Epoch epoch)
 {
     auto command = message.initRoot<Wire::JournalCommand>();
--- a/src/entry/request_handler_base.cpp
+++ b/src/entry/request_handler_base.cpp
@@ -1,4 +1,4 @@
-/** @file request_handler_base.cpp  Routes of the client interface. */
+/** @file request_handler_base.cpp  Routes of the HTTP API. */
 #include "entry/request_handler_base.h"
 
 #include <algorithm>
@@ -34,7 +34,7 @@
     request.stream().read(body.data(), static_cast<std::streamsize>(body.size()));
     body.resize(static_cast<std::size_t>(request.stream().gcount()));
     if (body.size() > MaxBodyBytes) {
-        // Read on for a while: a caller that still sends would lose the answer when the connection is closed.
+        // Drain the rest: closing while the client still sends would reset the connection before it reads the response.
         request.stream().ignore(MaxDrainedBodyBytes);
         return fail(ErrorKind::BodyTooLarge, "at most " + std::to_string(MaxBodyBytes) + " bytes");
     }
@@ -45,7 +45,7 @@
     return body;
 }
 
-/** Counts the requests that a planned stop waits for. */
+/** Counts a request as open for as long as it is handled; a graceful shutdown waits for open requests. */
 class OpenRequestCounter
 {
 public:
@@ -65,7 +65,7 @@
     std::atomic<int> &count; ///< Outlives this.
 };
 
-/** The query's `since` (0 where it isn't given) and `limit` (at most MaxEvents). */
+/** Parses the query parameters `since` (default 0) and `limit` (at most MaxEvents, which is also the default). */
 std::pair<std::uint64_t, std::size_t> parseEventPage(const std::string &uri)
 {
     std::uint64_t since = 0;
@@ -198,7 +198,7 @@
     }
     const std::string header = request.get("Authorization", "");
     if (!header.starts_with(BearerPrefix)) {
-        return fail(ErrorKind::UnknownKey, "no key came; send Authorization: Bearer KEY");
+        return fail(ErrorKind::UnknownKey, "the request has no API key; send Authorization: Bearer KEY");
     }
     const std::string hash = sha256Raw(header.substr(BearerPrefix.size()));
     const auto client = view->clients.find(hash);
--- a/src/entry/request_handler_base.h
+++ b/src/entry/request_handler_base.h
@@ -1,4 +1,4 @@
-/** @file request_handler_base.h  Handles one request of a caller: finds its route, checks its key, admits it. */
+/** @file request_handler_base.h  Handles one HTTP request: routing, authentication and admission. */
 #pragma once
 
 #include <string>
@@ -30,13 +30,13 @@
     void listEntries(Request &request, HttpResponseWriter &writer);
     void readyz(HttpResponseWriter &writer);
 
-    /** Whom the request runs for. Errors: UnknownKey, NotReady. */
+    /** Identifies the client by its API key. Errors: UnknownKey, NotReady. */
     Result<ClientIdentity> authenticate(const Request &request, HttpResponseWriter &writer);
 
-    /** Whether the request is to a service that needs no key. */
+    /** Whether the request is for a service route that needs no API key. */
     bool isPublicRoute(const Request &request, const std::vector<std::string> &path) const;
 
-    EntryContext &context; ///< Of the entry.
+    EntryContext &context; ///< Shared state of the entry.
 };
 
 class RequestHandlerFactory final : public Poco::Net::HTTPRequestHandlerFactory
@@ -52,7 +52,7 @@
     }
 
 private:
-    EntryContext &context; ///< Of the entry.
+    EntryContext &context; ///< Shared state of the entry.
 };
 
 } // namespace Chestnuthook
--- a/src/entry/request_limits_func.cpp
+++ b/src/entry/request_limits_func.cpp
@@ -1,4 +1,4 @@
-/** @file request_limits_func.cpp  Measures requests. */
+/** @file request_limits_func.cpp  Measures requests against the request limits. */
 #include "entry/request_limits_type.h"
 
 #include <algorithm>
--- a/src/entry/request_limits_type.h
+++ b/src/entry/request_limits_type.h
@@ -1,5 +1,5 @@
-/** @file request_limits_type.h  Bounds of what one caller may make an entry hold: header, whole request, time to send
- * it, connections. Pure: bytes and instants come in, a verdict goes out. */
+/** @file request_limits_type.h  Limits on the resources that one client may occupy: header size, request size, time
+ * to send a request, and connections. Does no I/O: the caller passes in the received bytes and the time. */
 #pragma once
 
 #include <cstddef>
@@ -11,20 +11,20 @@
 namespace Chestnuthook
 {
 
-/** Bounds at one entry. */
+/** Limits that one entry enforces. */
 struct RequestLimits
 {
-    std::size_t maxHeaderBytes = 32UL * 1024; ///< Of the request line and headers.
-    std::size_t maxRequestBytes =
-        10UL * 1024 * 1024; ///< Of the whole request; the body's own bound is answered before it.
-    Duration sendTimeout = std::chrono::seconds(10); ///< From a request's first byte to its last.
-    int maxConnectionsPerAddress = 512; ///< From one address.
-    int maxConnections = 1024; ///< From all addresses; each has a thread.
+    std::size_t maxHeaderBytes = 32UL * 1024; ///< Request line and headers, in bytes.
+    std::size_t maxRequestBytes = 10UL * 1024 * 1024; ///< Header and body, in bytes. So far above the body limit that
+                                                      ///< an oversized body is rejected by that one first.
+    Duration sendTimeout = std::chrono::seconds(10); ///< Time from the first to the last byte of a request.
+    int maxConnectionsPerAddress = 512; ///< Open connections from one IP address.
+    int maxConnections = 1024; ///< Open connections in total; each occupies a thread.
 };
 
 enum class LimitVerdict : std::uint8_t { WithinLimits, HeaderTooLarge, RequestTooLarge, TooSlow };
 
-/** Measures the requests of one connection, one after the other. */
+/** Measures the successive requests on one connection. */
 class RequestMeter
 {
 public:
@@ -33,30 +33,30 @@
     {
     }
 
-    /** Counts bytes that came. The first ones start the time of a request. */
+    /** Counts received bytes. The first byte of a request starts its timeout. */
     LimitVerdict consume(std::string_view bytes, Instant now);
 
-    /** An answer is being sent: what comes next is another request. */
+    /** A response is being sent: the next received byte starts a new request. */
     void onResponse();
 
-    /** Whether part of a request has come and its answer has not begun. */
+    /** Whether part of a request was received and its response has not started. */
     [[nodiscard]] bool isInProgress() const
     {
         return this->requestBytes > 0;
     }
 
-    /** How long the rest may still take; zero where the time is over. */
+    /** The time left to receive the rest of the request; 0 once the timeout has passed. */
     [[nodiscard]] Duration remainingTime(Instant now) const;
 
 private:
     void findHeaderEnd(std::string_view bytes);
 
-    RequestLimits limits; ///< The bounds.
-    Instant startedAt; ///< When the first byte of the request under way came.
-    std::size_t requestBytes = 0; ///< Bytes of the request under way.
-    std::size_t headerBytes = 0; ///< Those of its header.
-    std::uint8_t consecutiveNewlines = 0; ///< Line ends seen in a row; two end the header.
-    bool headerComplete = false; ///< The rest is body.
+    RequestLimits limits; ///< The limits to enforce.
+    Instant startedAt; ///< When the first byte of the current request was received.
+    std::size_t requestBytes = 0; ///< Bytes received of the current request.
+    std::size_t headerBytes = 0; ///< Bytes received of its header.
+    std::uint8_t consecutiveNewlines = 0; ///< Newlines in a row; two of them end the header.
+    bool headerComplete = false; ///< The header was received completely; what follows is the body.
 };
 
 } // namespace Chestnuthook
--- a/src/entry/response_writer_base.cpp
+++ b/src/entry/response_writer_base.cpp
@@ -1,4 +1,4 @@
-/** @file response_writer_base.cpp  Answers on the caller's connection. */
+/** @file response_writer_base.cpp  Writes responses to the connection of a client. */
 #include "entry/response_writer_base.h"
 
 #include <ostream>
--- a/src/entry/response_writer_base.h
+++ b/src/entry/response_writer_base.h
@@ -1,5 +1,5 @@
-/** @file response_writer_base.h  Where the answer to one request goes: to the caller's own connection, or through the
- * entry that the caller reached. */
+/** @file response_writer_base.h  Writes the response to one request, either to the connection of the client or, for a
+ * forwarded request, to the entry that received it. */
 #pragma once
 
 #include <functional>
@@ -16,7 +16,7 @@
 namespace Chestnuthook
 {
 
-/** For one request on one traffic thread: start once, write any number of times, end once. */
+/** For one request on one traffic thread: call `start` once, `write` any number of times, then `end` once. */
 class ResponseWriter
 {
 public:
@@ -25,19 +25,19 @@
     ResponseWriter(const ResponseWriter &) = delete;
     ResponseWriter &operator=(const ResponseWriter &) = delete;
 
-    /** @param length bytes of the body, or -1 for a stream. */
+    /** Sends the status and headers. @param length size of the body in bytes, or -1 for a stream. */
     virtual void start(int status, const std::vector<HttpHeader> &headers, std::int64_t length) = 0;
-    /** @return false where the caller has gone. */
+    /** Sends part of the body. @return false if the client has disconnected. */
     virtual bool write(std::string_view bytes) = 0;
     virtual void end() = 0;
 
-    /** Whether nobody waits for the answer any more: the caller has closed its connection, or its key was withdrawn. */
+    /** Whether the response is no longer needed: the client has disconnected or its API key was withdrawn. */
     virtual bool isAbandoned() = 0;
 
     [[nodiscard]] virtual bool isStarted() const = 0;
 };
 
-/** Writes to the caller's connection. */
+/** Writes to the connection of the client. */
 class HttpResponseWriter final : public ResponseWriter
 {
 public:
@@ -53,26 +53,26 @@
         return this->stream != nullptr;
     }
 
-    std::function<bool()> isKeyValid; ///< Asked now and then while the answer is under way; empty for open routes.
+    std::function<bool()> isKeyValid; ///< Polled by isAbandoned; empty for routes that need no key.
 
 private:
-    /** Ends the answer by an error: the caller is connected, but may have nothing more. */
+    /** Ends the response with an error, as the key of the client, which is still connected, was withdrawn. */
     void sendKeyWithdrawn();
 
     Poco::Net::HTTPServerResponse &response; ///< Outlives this.
-    int socket; ///< The caller's connection, to see whether it was closed.
-    std::ostream *stream = nullptr; ///< Set by start.
-    bool writeFailed = false; ///< A write failed.
-    bool errorSent = false; ///< The caller was told that its key was withdrawn.
+    int socket; ///< Descriptor of the connection, to detect that the client has closed it; -1 if unknown.
+    std::ostream *stream = nullptr; ///< Body stream, set by `start`.
+    bool writeFailed = false; ///< A write to the connection has failed.
+    bool errorSent = false; ///< The error for a withdrawn key was sent.
 };
 
-/** Sends @p body as JSON. */
+/** Sends a response with a JSON body. */
 void replyJson(ResponseWriter &writer, int status, const std::string &body);
 
-/** Sends text of another type. */
+/** Sends a response with a body of content type @p type. */
 void replyText(ResponseWriter &writer, int status, const std::string &type, const std::string &body);
 
-/** Sends @p error with its code, message, remedy, and whether the request ran. */
+/** Sends an error response: code, message, remedy, and whether the request was run. */
 void replyError(ResponseWriter &writer, const Error &error);
 
 } // namespace Chestnuthook
--- a/src/entry/tls_certificate_base.cpp
+++ b/src/entry/tls_certificate_base.cpp
@@ -1,4 +1,4 @@
-/** @file tls_certificate_base.cpp  Loads and reloads the callers' certificate. */
+/** @file tls_certificate_base.cpp  Loads the TLS server certificate and reloads it after changes. */
 #include "entry/tls_certificate_base.h"
 
 #include <chrono>
--- a/src/entry/tls_certificate_base.h
+++ b/src/entry/tls_certificate_base.h
@@ -1,5 +1,5 @@
-/** @file tls_certificate_base.h  The certificate under which callers reach an entry; read again when its files change,
- * so that it is replaced without a restart. */
+/** @file tls_certificate_base.h  The TLS server certificate that an entry presents to clients. It is reloaded when its
+ * files change, so that it can be replaced without a restart. */
 #pragma once
 
 #include <filesystem>
@@ -18,25 +18,26 @@
 class TlsCertificate
 {
 public:
-    /** PEM files: the certificate with its chain, and its key. */
+    /** @param certificateFile PEM file with the certificate and its chain.
+     * @param keyFile PEM file with the private key. */
     TlsCertificate(std::string certificateFile, std::string keyFile);
 
-    /** Reads the files. Errors: BadSetting, after which the certificate in use stays. */
+    /** Loads the files. On error (BadSetting) the current certificate stays in use. */
     Result<void> load();
 
-    /** The context for a new connection. Looks at the files at most once a second and reads changed ones; files that
-     * can't be read are logged and the certificate in use stays. */
+    /** The TLS context for a new connection. Checks the files for changes at most once a second and reloads them. If
+     * that fails, logs the error and keeps the current certificate. */
     [[nodiscard]] Poco::Net::Context::Ptr current();
 
 private:
     std::string fileTimestamps() const;
 
-    const std::string certificateFile; ///< PEM.
-    const std::string keyFile; ///< PEM.
-    std::mutex mutex; ///< Guards all below.
-    Poco::Net::Context::Ptr context; ///< In use.
-    std::string loadedTimestamps; ///< Times of the files when they were read last.
-    std::chrono::steady_clock::time_point lastCheck; ///< When the files were looked at last.
+    const std::string certificateFile; ///< Path of the PEM file.
+    const std::string keyFile; ///< Path of the PEM file.
+    std::mutex mutex; ///< Guards the members below.
+    Poco::Net::Context::Ptr context; ///< The context in use.
+    std::string loadedTimestamps; ///< Modification times of the files when they were last loaded.
+    std::chrono::steady_clock::time_point lastCheck; ///< When the files were last checked for changes.
 };
 
 } // namespace Chestnuthook
--- a/src/entry/worker_pool_base.h
+++ b/src/entry/worker_pool_base.h
@@ -1,4 +1,4 @@
-/** @file worker_pool_base.h  Threads that run calls and other work that may block. */
+/** @file worker_pool_base.h  A thread pool for calls and other blocking work. */
 #pragma once
 
 #include <functional>
@@ -19,7 +19,7 @@
 class WorkerPool
 {
 public:
-    /** Runs @p work on a thread of its own. Errors: Overloaded, with ran = no. */
+    /** Runs @p work on a thread of the pool. Errors: Overloaded if no thread is free; @p work is then not run. */
     Result<void> run(std::function<void()> work)
     {
         auto *task = new Task(std::move(work));
@@ -32,14 +32,14 @@
         return {};
     }
 
-    /** Waits until all work is done. */
+    /** Waits until all submitted work has finished. */
     void join()
     {
         this->pool.joinAll();
     }
 
 private:
-    /** Owns itself until it has run. */
+    /** Deletes itself after it has run. */
     class Task final : public Poco::Runnable
     {
     public:
@@ -58,14 +58,14 @@
         }
 
     private:
-        std::function<void()> work; ///< What to do.
+        std::function<void()> work; ///< The function to run.
     };
 
     static constexpr int MaxThreads = 1024;
     static constexpr int IdleSeconds = 30;
     static constexpr int StackBytes = 256 * 1024;
 
-    Poco::ThreadPool pool{2, MaxThreads, IdleSeconds, StackBytes}; ///< The threads.
+    Poco::ThreadPool pool{2, MaxThreads, IdleSeconds, StackBytes}; ///< The worker threads.
 };
 
 } // namespace Chestnuthook
--- a/tests/process/security_test.cpp
+++ b/tests/process/security_test.cpp
@@ -1,5 +1,5 @@
-/** @file security_test.cpp  What strangers, slow senders and greedy callers get, and where keys and secrets must not
- * be. */
+/** @file security_test.cpp  Rejection of unauthenticated peers, slow senders and clients over a limit; API keys and
+ * secrets must not appear in files or interfaces. */
 #define BOOST_TEST_MODULE security
 #include <array>
 #include <csignal>
@@ -38,8 +38,8 @@
 const std::string ToolCall =
     R"({"kind":"tool","service":"print","method":"POST","path":"/orders","body":"{}","idempotent":false})";
 
-/** All that the processes wrote to files, but for the secret's own file. */
-std::string writtenBy(const ProcessFleet &fleet, const std::string &part)
+/** Contents of all files of the fleet whose path contains @p part, except the file with the secret. */
+std::string readFilesOf(const ProcessFleet &fleet, const std::string &part)
 {
     std::string all;
     for (const auto &file : std::filesystem::recursive_directory_iterator(fleet.folder)) {
@@ -51,8 +51,8 @@
     return all;
 }
 
-/** All that the processes tell: ledgers, events and metrics. */
-std::string toldBy(const ProcessFleet &fleet)
+/** All that the processes expose over HTTP: ledgers, events and metrics. */
+std::string readInterfacesOf(const ProcessFleet &fleet)
 {
     std::string all = http(fleet.engineAddresses[0], "GET", "/fake/ledger").body
         + http(fleet.serviceAddresses[0], "GET", "/fake/ledger").body;
@@ -67,7 +67,7 @@
     return text.find(part) != std::string::npos;
 }
 
-/** A connection that a test writes to byte by byte. */
+/** A TCP connection to which a test writes raw bytes. */
 struct RawConnection
 {
     explicit RawConnection(const std::string &address)
@@ -81,17 +81,17 @@
         this->socket.sendBytes(text.data(), static_cast<int>(text.size()));
     }
 
-    /** Ends our direction; the other end may have reset the connection already. */
+    /** Half-closes the connection; the peer may have reset it already. */
     void endSending()
     {
         try {
             this->socket.shutdownSend();
         } catch (const Poco::Net::NetException &) {
-            // Nothing more can be sent, which is what was asked for.
+            // The connection was reset, so nothing more can be sent either.
         }
     }
 
-    /** All that comes until the other end closes. */
+    /** Reads until the peer closes the connection. */
     std::string readAll()
     {
         std::string all;
@@ -107,7 +107,7 @@
         return all;
     }
 
-    Poco::Net::StreamSocket socket; ///< To the entry.
+    Poco::Net::StreamSocket socket; ///< Connection to the address.
 };
 
 FleetSize withEntryFlags(std::vector<std::string> flags)
@@ -119,7 +119,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(no_key_and_no_secret_is_in_anything_that_a_run_wrote_or_tells)
+BOOST_AUTO_TEST_CASE(keys_and_secrets_do_not_leak)
 {
     ProcessFleet fleet;
     const std::string program = "/v1/programs/" + fleet.createProgram(0);
@@ -133,40 +133,40 @@
     BOOST_TEST(!contains(refused.body, wrongKey));
     fleet.ask(0, "GET", "/v1/nowhere/" + Marker);
     const std::string listed = fleet.ctl({"keys", "list"}).output;
-    const std::string told = toldBy(fleet);
+    const std::string exposed = readInterfacesOf(fleet);
     for (const char *name : {"entry-0", "control-0"}) {
         fleet.processes.at(name)->signal(SIGTERM);
         fleet.processes.at(name)->wait();
     }
-    const std::string written = writtenBy(fleet, "");
-    // The search sees what it should: histories are in the data folder, attempts in the ledger, lines in the logs.
-    BOOST_TEST(contains(writtenBy(fleet, "control-0/"), Marker));
-    BOOST_TEST(contains(told, "\"attempt\":\""));
-    BOOST_TEST(contains(writtenBy(fleet, ".log"), "event="));
-    BOOST_TEST(!contains(writtenBy(fleet, ".log"), Marker));
-    for (const std::string &hidden : {fleet.key, wrongKey, std::string("a secret of this test fleet")}) {
-        BOOST_TEST(!contains(written, hidden));
-        BOOST_TEST(!contains(told, hidden));
-        BOOST_TEST(!contains(listed, hidden));
+    const std::string written = readFilesOf(fleet, "");
+    // The search covers what it should: histories in the data folder, attempts in the ledger, lines in the logs.
+    BOOST_TEST(contains(readFilesOf(fleet, "control-0/"), Marker));
+    BOOST_TEST(contains(exposed, "\"attempt\":\""));
+    BOOST_TEST(contains(readFilesOf(fleet, ".log"), "event="));
+    BOOST_TEST(!contains(readFilesOf(fleet, ".log"), Marker));
+    for (const std::string &forbidden : {fleet.key, wrongKey, std::string("a secret of this test fleet")}) {
+        BOOST_TEST(!contains(written, forbidden));
+        BOOST_TEST(!contains(exposed, forbidden));
+        BOOST_TEST(!contains(listed, forbidden));
     }
 }
 
-BOOST_AUTO_TEST_CASE(a_process_with_another_secret_and_a_stranger_get_nothing_from_a_control_port)
+BOOST_AUTO_TEST_CASE(rejects_rpc_without_the_fleet_secret)
 {
     ProcessFleet fleet;
     const CommandResult wrong = runCommand("chestnuthook-ctl",
         {"--controls=" + fleet.controlAddresses[0], "keys", "list"}, {"CHESTNUTHOOK_SECRET=another secret"});
     BOOST_TEST(wrong.exitCode != 0);
     BOOST_TEST(!contains(wrong.output, fleet.tenant), wrong.output);
-    RawConnection stranger(fleet.controlAddresses[0]);
-    stranger.send("GET / HTTP/1.1\r\n\r\n" + std::string(64, '\xff'));
-    stranger.endSending();
-    BOOST_TEST(!contains(stranger.readAll(), fleet.tenant));
+    RawConnection rawClient(fleet.controlAddresses[0]);
+    rawClient.send("GET / HTTP/1.1\r\n\r\n" + std::string(64, '\xff'));
+    rawClient.endSending();
+    BOOST_TEST(!contains(rawClient.readAll(), fleet.tenant));
     ControlLoop loop("another secret", "stranger");
     for (const std::string &address : {fleet.controlAddresses[0], fleet.entryRpcAddresses[0]}) {
         RpcLink link(loop.rpc(), address);
         BOOST_CHECK_THROW(loop.wait(link.services().ignoreResult()), kj::Exception);
-        // Nor does the bootstrap capability do anything but the gate's work when it is called as another interface.
+        // The bootstrap capability must not serve other interfaces than authentication either.
         auto stream = loop.wait(loop.wait(loop.rpc().network.parseAddress(address))->connect());
         capnp::TwoPartyClient client(*stream);
         auto control = client.bootstrap().castAs<Wire::Control>();
@@ -178,7 +178,7 @@
     BOOST_TEST(fleet.createProgram(0) != "");
 }
 
-BOOST_AUTO_TEST_CASE(a_header_over_its_bound_is_refused)
+BOOST_AUTO_TEST_CASE(rejects_a_request_with_too_large_a_header)
 {
     ProcessFleet fleet(withEntryFlags({"--max_header_bytes=4096"}));
     RawConnection caller(fleet.entryAddresses[0]);
@@ -189,7 +189,7 @@
     BOOST_TEST(http(fleet.entryAddresses[0], "GET", "/healthz").status == 200);
 }
 
-BOOST_AUTO_TEST_CASE(a_slow_sender_is_answered_and_its_half_request_never_runs)
+BOOST_AUTO_TEST_CASE(an_incomplete_request_times_out_and_never_runs)
 {
     ProcessFleet fleet(withEntryFlags({"--request_send_ms=700"}));
     const std::string call = "/v1/programs/" + fleet.createProgram(0) + "/calls/1";
@@ -199,19 +199,19 @@
     const std::string answer = caller.readAll();
     BOOST_TEST(answer.starts_with("HTTP/1.1 408 "), answer);
     BOOST_TEST(contains(answer, "\"ran\":\"no\""));
-    // The same by a caller that goes away in the middle of its request.
+    // The same for a client that disconnects in the middle of its request.
     {
-        RawConnection gone(fleet.entryAddresses[0]);
-        gone.send("POST " + call + " HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer " + fleet.key
+        RawConnection disconnecting(fleet.entryAddresses[0]);
+        disconnecting.send("POST " + call + " HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer " + fleet.key
             + "\r\nContent-Length: " + std::to_string(ModelCall.size() + 10) + "\r\n\r\n" + ModelCall);
-        gone.endSending();
-        BOOST_TEST(contains(gone.readAll(), "ended early"));
+        disconnecting.endSending();
+        BOOST_TEST(contains(disconnecting.readAll(), "ended early"));
     }
     BOOST_TEST(ProcessFleet::ledgerCount(fleet.engineAddresses[0], "\"attempt\":\"") == 0);
     BOOST_TEST(fleet.ask(0, "POST", call, ModelCall).status == 200);
 }
 
-BOOST_AUTO_TEST_CASE(a_caller_with_too_many_connections_is_told_when_to_come_back)
+BOOST_AUTO_TEST_CASE(too_many_connections_get_retry_after)
 {
     ProcessFleet fleet(withEntryFlags({"--max_connections_per_caller=4"}));
     std::vector<std::unique_ptr<RawConnection>> held;
@@ -228,7 +228,7 @@
     }));
 }
 
-BOOST_AUTO_TEST_CASE(callers_are_served_under_tls_and_a_new_certificate_needs_no_restart)
+BOOST_AUTO_TEST_CASE(replaces_the_tls_certificate_without_restart)
 {
     const TemporaryFolder folder;
     const std::string prefix = folder.path + "/entry";
--- a/tests/unit/limits_test.cpp
+++ b/tests/unit/limits_test.cpp
@@ -1,4 +1,4 @@
-/** @file limits_test.cpp  Requests over a limit are found, whatever pieces they come in. */
+/** @file limits_test.cpp  Requests over a limit are detected, however the bytes are split. */
 #define BOOST_TEST_MODULE limits
 #include <string>
 
@@ -13,7 +13,7 @@
 
 const std::string Header = "POST /v1/programs HTTP/1.1\r\nHost: x\r\nContent-Length: 90000\r\n\r\n";
 
-/** Feeds @p text in pieces of @p size, one each @p pause. @return the first verdict that is not Within. */
+/** Feeds @p text in pieces of @p size bytes, one every @p pause. @return the first verdict that is not WithinLimits. */
 LimitVerdict feed(RequestMeter &meter, const std::string &text, std::size_t size, Duration pause, Instant &now)
 {
     for (std::size_t at = 0; at < text.size(); at += size) {
@@ -39,7 +39,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(a_header_without_end_is_cut_at_its_bound_in_pieces_of_any_size)
+BOOST_AUTO_TEST_CASE(rejects_a_header_over_the_limit)
 {
     for (const std::size_t size : {1UL, 7UL, 4096UL}) {
         RequestMeter meter(smallLimits());
@@ -49,7 +49,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(a_body_counts_for_the_request_and_not_for_the_header)
+BOOST_AUTO_TEST_CASE(body_counts_towards_request_size_only)
 {
     for (const std::size_t size : {1UL, 7UL, 4096UL}) {
         RequestMeter meter(smallLimits());
@@ -60,7 +60,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(a_slow_sender_is_found_though_bytes_keep_coming)
+BOOST_AUTO_TEST_CASE(detects_a_slow_sender_that_keeps_sending)
 {
     RequestMeter meter(smallLimits());
     Instant now;
@@ -70,7 +70,7 @@
     BOOST_TEST((meter.remainingTime(now) == Duration(0)));
 }
 
-BOOST_AUTO_TEST_CASE(time_between_requests_and_in_answers_is_not_counted)
+BOOST_AUTO_TEST_CASE(timeout_excludes_idle_and_response_time)
 {
     RequestMeter meter(smallLimits());
     Instant now;
@@ -84,7 +84,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(connections_are_counted_by_address_and_in_all)
+BOOST_AUTO_TEST_CASE(limits_connections_per_address_and_in_total)
 {
     ConnectionCounts counts(smallLimits());
     BOOST_TEST(counts.add("10.0.0.1"));
