--- a/src/entry/admission_client_base.cpp
+++ b/src/entry/admission_client_base.cpp
@@ -1,4 +1,4 @@
-/** @file admission_client_base.cpp  Asking and answering for tenants' buckets between entries. */
+/** @file admission_client_base.cpp  RPCs between entries about the token buckets of customers. */
 #include "entry/admission_client_base.h"
 
 #include <algorithm>
@@ -15,7 +15,7 @@
 
 constexpr auto PeerRequestTimeout = 500 * kj::MILLISECONDS;
 
-/** How often a former owner is asked for its buckets. */
+/** How often a former owner is asked to hand over its buckets. */
 constexpr Duration HandoverRetryInterval = std::chrono::milliseconds(100);
 
 AdmitVerdict ownerUnavailable()
@@ -94,7 +94,7 @@
     batch.waiting.push_back({tenant, kj::mv(paf.fulfiller)});
     if (!batch.busy) {
         batch.busy = true;
-        // Later in this turn, so that requests which came in together go together.
+        // Sends at the end of this turn of the event loop, so that requests which arrived together share a batch.
         this->loop.detach(kj::evalLast([this, address]() {
             this->send(address);
         }));
--- a/src/entry/admission_client_base.h
+++ b/src/entry/admission_client_base.h
@@ -1,5 +1,5 @@
-/** @file admission_client_base.h  Admission on the control thread: decides for the tenants whose slots this entry owns,
- * asks the owners of the others in batches, and takes buckets over when slots move. */
+/** @file admission_client_base.h  Admission control on the control thread: decides for the customers whose slots this
+ * entry owns, sends batched requests to the owners of the others, and takes over buckets when slots move. */
 #pragma once
 
 #include <map>
@@ -14,35 +14,35 @@
 namespace Chestnuthook
 {
 
-/** For the control thread only. */
+/** Finds the owner of a customer's token bucket and gets its decision. For the control thread only. */
 class AdmissionClient
 {
 public:
     AdmissionClient(ControlLoop &loop, FleetFollower &follower, PeerLinks &peers);
 
-    /** Asks the owner of @p tenant's slot for one request. NotOwner means that there is none, or that it can't be
-     * reached. */
+    /** Asks the owner of @p tenant's slot to admit one request. The state is NotOwner if the slot has no owner or its
+     * owner can't be reached. */
     [[nodiscard]] kj::Promise<AdmitVerdict> requestAdmission(const TenantId &tenant);
 
-    /** Decides as the owner of @p tenant's slot. */
+    /** Admits up to @p count requests as the owner of @p tenant's slot. */
     [[nodiscard]] AdmitVerdict admitAsOwner(const TenantId &tenant, std::uint32_t count);
 
-    /** Stops for slots that another entry has gained, and tells what their buckets hold. */
+    /** Stops admitting for slots that have moved to another entry, and returns the levels of their buckets. */
     void releaseSlots(capnp::List<Wire::GivenUpSlot>::Reader slots, capnp::List<Wire::GivenUpSlot>::Builder replies);
 
-    /** The follower's copy has changed. */
+    /** Applies a changed view of the fleet state. */
     void onViewChange();
 
 private:
     struct Waiter
     {
-        TenantId tenant; ///< Whose request it is.
-        kj::Own<kj::PromiseFulfiller<AdmitVerdict>> fulfiller; ///< Gets the verdict.
+        TenantId tenant; ///< Customer who made the request.
+        kj::Own<kj::PromiseFulfiller<AdmitVerdict>> fulfiller; ///< Receives the decision.
     };
     struct Batch
     {
-        std::vector<Waiter> waiting; ///< Not sent yet.
-        bool busy = false; ///< A batch is under way; the next goes when it is back.
+        std::vector<Waiter> waiting; ///< Requests that were not sent yet.
+        bool busy = false; ///< A batch is in flight; the next is sent after its reply.
     };
 
     [[nodiscard]] SlotFacts facts(const FleetView &view) const;
@@ -56,9 +56,9 @@
     ControlLoop &loop; ///< Outlives this.
     FleetFollower &follower; ///< Outlives this.
     PeerLinks &peers; ///< Outlives this.
-    BucketOwner owner; ///< Buckets of the owned slots.
-    std::map<std::string, Batch> batches; ///< By the owner's address.
-    TimerSubscription handoverTimer; ///< Runs while a handover is wanted.
+    BucketOwner owner; ///< Buckets of the slots that this entry owns.
+    std::map<std::string, Batch> batches; ///< Batches by RPC address of the slot owner.
+    TimerSubscription handoverTimer; ///< Retries handovers; active while any is pending.
 };
 
 } // namespace Chestnuthook
--- a/src/entry/admission_gate_base.cpp
+++ b/src/entry/admission_gate_base.cpp
@@ -1,4 +1,4 @@
-/** @file admission_gate_base.cpp  Admission of requests by tenant. */
+/** @file admission_gate_base.cpp  Admission control by customer. */
 #include "entry/admission_gate_base.h"
 
 #include <algorithm>
@@ -12,14 +12,14 @@
 namespace
 {
 
-/** How long a request may wait for a bucket that has no owner: until the lease of an owner that died has run out, the
- * slot has moved, and what came meanwhile has been let through. */
+/** How long a request may wait for a token bucket without an owner. Covers the time until the lease of a failed owner
+ * expires, the slot moves, and the requests that queued up meanwhile are admitted. */
 constexpr Duration MaxOwnerWait = std::chrono::milliseconds(8000);
 
-/** Between two questions to an owner that can't grant yet. */
+/** Delay before an owner that can't grant yet is asked again. */
 constexpr Duration RetryInterval = std::chrono::milliseconds(150);
 
-/** When a caller is told to come back where no owner could be asked. */
+/** Minimum Retry-After for a client if no owner could be reached, in milliseconds. */
 constexpr std::int64_t NotReadyRetryAfterMs = 1000;
 
 std::int64_t toMsRoundedUp(Duration duration)
@@ -60,7 +60,7 @@
 Result<void> AdmissionGate::admit(const ClientIdentity &client)
 {
     if (!this->follower.views.get()->tenants.contains(client.tenant)) {
-        return fail(ErrorKind::UnknownKey, "the tenant is not declared");
+        return fail(ErrorKind::UnknownKey, "the customer is not declared");
     }
     const Instant begin = this->loop.timers().now();
     for (;;) {
@@ -71,7 +71,8 @@
         const bool granted = verdict.state == AdmitState::Decided && !verdict.delays.empty();
         if (granted) {
             bool expired = false;
-            // The owner granted after it was asked, so counted from then the grant is used in time by its clock too.
+            // The owner granted after requestedAt. A grant that is used within GrantLife of that time is valid at the
+            // owner too.
             const Duration delay = verdict.delays.front();
             Result<void> grantResult = this->waitForGrant(client, delay, requestedAt + delay + GrantLife, expired);
             if (!grantResult || !expired) {
@@ -88,7 +89,7 @@
                 Error{ErrorKind::RateExceeded, client.tenant.text, Ran::No, toMsRoundedUp(verdict.retryAfter)});
         }
         if (waited > MaxOwnerWait || !this->follower.isFresh()) {
-            return tl::unexpected(Error{ErrorKind::NotReady, "the tenant's bucket has no owner that can be reached",
+            return tl::unexpected(Error{ErrorKind::NotReady, "the owner of the customer's rate limit can't be reached",
                 Ran::No, std::max(NotReadyRetryAfterMs, toMsRoundedUp(verdict.retryAfter))});
         }
         if (!granted) {
--- a/src/entry/admission_gate_base.h
+++ b/src/entry/admission_gate_base.h
@@ -1,4 +1,4 @@
-/** @file admission_gate_base.h  Counts each request against its tenant's rate and burst. */
+/** @file admission_gate_base.h  Enforces the rate and burst of each customer. */
 #pragma once
 
 #include "core/error_type.h"
@@ -7,25 +7,26 @@
 namespace Chestnuthook
 {
 
-/** The way of traffic threads to the tenants' buckets, which are fleet-wide. */
+/** Admits requests on traffic threads by token buckets that hold for the whole fleet. */
 class AdmissionGate
 {
 public:
     AdmissionGate(ControlLoop &loop, FleetFollower &follower, PeerLinks &peers);
 
-    /** Takes one request out of the tenant's bucket, and holds it for a bounded time until it is inside the rate. For
-     * traffic threads. Errors, all at once when it is given up: RateExceeded and NotReady, with when to come back;
-     * UnknownKey where the key was withdrawn meanwhile. */
+    /** Takes one token from the customer's bucket and blocks, for a bounded time, until the request is within the rate.
+     * For traffic threads. Errors: RateExceeded and NotReady, with a retry delay; UnknownKey if the key was withdrawn
+     * meanwhile. */
     Result<void> admit(const ClientIdentity &client);
 
-    AdmissionClient client; ///< For the control thread only.
+    AdmissionClient client; ///< Gets the decisions; for the control thread only.
 
 private:
+    /** Sleeps for @p delay, then sets @p expired if the grant is no longer usable. Errors: UnknownKey. */
     Result<void> waitForGrant(const ClientIdentity &client, Duration delay, Instant usableUntil, bool &expired);
     [[nodiscard]] bool isKeyActive(const ClientIdentity &client) const;
 
     ControlLoop &loop; ///< Outlives this.
-    FleetFollower &follower; ///< Outlives this; only its views are read.
+    FleetFollower &follower; ///< Outlives this; only its views are used.
 };
 
 } // namespace Chestnuthook
--- a/src/entry/dispatch_base.cpp
+++ b/src/entry/dispatch_base.cpp
@@ -1,4 +1,4 @@
-/** @file dispatch_base.cpp  Choice of endpoints. */
+/** @file dispatch_base.cpp  Selection of endpoints for attempts. */
 #include "entry/dispatch_base.h"
 
 #include <utility>
--- a/src/entry/dispatch_base.h
+++ b/src/entry/dispatch_base.h
@@ -1,4 +1,4 @@
-/** @file dispatch_base.h  Chooses the endpoint of each attempt and bounds the work in flight there. */
+/** @file dispatch_base.h  Selects the endpoint of each attempt and limits the work in flight at each endpoint. */
 #pragma once
 
 #include <atomic>
@@ -18,38 +18,38 @@
 namespace Chestnuthook
 {
 
-/** For traffic threads; calls may wait for a turn. */
+/** Dispatch for traffic threads; calls may block until a permit is granted. */
 class Dispatch
 {
 public:
     Dispatch(ControlLoop &loop, FleetFollower &follower, PeerLinks &peers);
 
-    /** Waits for a turn. Errors: NoEndpoint, Overloaded, DeadlineExceeded, Quarantined; all with ran = no. */
+    /** Waits for a permit. Errors: NoEndpoint, Overloaded, DeadlineExceeded, Quarantined; all with ran = no. */
     Result<DispatchPermit> acquire(const DispatchRequest &request);
 
-    /** The attempt has ended; what it says of the endpoint's health and of the request is taken in. */
+    /** Releases the permit after its attempt has ended. The outcome updates the health of the endpoint. */
     void release(const DispatchPermit &permit, const DispatchRequest &request, const AttemptOutcome &outcome);
 
-    /** Takes one retry of @p demand's call out of the retry budget of its model or service.
-     * @return false where retries have used it up: the call then fails with the error of its last attempt. */
+    /** Takes one retry from the retry budget of the model or service of @p request.
+     * @return false if the budget is exhausted: the call then fails with the error of its last attempt. */
     bool consumeRetry(const DispatchRequest &request);
 
-    /** How long to wait before retry number @p retry (from 1): exponential, with full jitter. */
+    /** Delay before retry number @p retry, counted from 1: exponential backoff with full jitter. */
     [[nodiscard]] Duration retryDelay(unsigned retry);
 
-    /** Takes in the platform's latest list. */
+    /** Sets the latest endpoint list of the platform. */
     void setEndpoints(std::shared_ptr<const EndpointList> list);
 
     [[nodiscard]] std::shared_ptr<const EndpointList> endpoints() const;
 
-    PermitBroker broker; ///< For the control thread only.
+    PermitBroker broker; ///< Acquires permits; for the control thread only.
 
 private:
     ControlLoop &loop; ///< Outlives this.
-    std::atomic<std::shared_ptr<const EndpointList>> list; ///< The platform's list; never null.
-    std::mutex retryMutex; ///< Guards the members below; held for arithmetic only.
-    std::map<std::string, RetryBudget> retryBudgets; ///< By kind and name of the target.
-    std::uint64_t jitterSeed; ///< State of the jitter's generator.
+    std::atomic<std::shared_ptr<const EndpointList>> list; ///< The latest endpoint list of the platform; never null.
+    std::mutex retryMutex; ///< Guards the members below; never held while blocking.
+    std::map<std::string, RetryBudget> retryBudgets; ///< Retry budgets by endpoint kind and name.
+    std::uint64_t jitterSeed; ///< State of the random generator for jitter.
 };
 
 } // namespace Chestnuthook
--- a/src/entry/dispatch_request_type.h
+++ b/src/entry/dispatch_request_type.h
@@ -1,4 +1,4 @@
-/** @file dispatch_request_type.h  What an attempt asks of dispatch, and the permit that it gets. */
+/** @file dispatch_request_type.h  A request to dispatch one attempt, and the permit that is granted for it. */
 #pragma once
 
 #include <cstdint>
@@ -11,28 +11,29 @@
 namespace Chestnuthook
 {
 
-/** What an attempt needs; enough to choose its endpoint and its place in the queue. */
+/** Requirements of an attempt, by which its endpoint and its place in the queue are chosen. */
 struct DispatchRequest
 {
-    EndpointKind kind = EndpointKind::Engine; ///< Engine or service.
-    std::string name; ///< Model or service.
-    ProgramId program; ///< Whose call it is; its earlier endpoints hold its cache.
-    TenantId tenant; ///< For fairness.
-    std::uint64_t promptTokens = 0; ///< Estimate, history included.
-    std::uint32_t maxTokens = 0; ///< Bound of the answer.
-    std::uint64_t attainedTokens = 0; ///< Service that the program has had; more goes first, see docs/POLICY.md.
-    std::string fingerprint; ///< Of tenant and content, for quarantine.
-    std::vector<EndpointId> excluded; ///< Endpoints that failed this call before.
-    std::int64_t deadlineMs = 0; ///< How long the attempt may wait for its turn, in milliseconds; 0 for the default.
-    bool isolated = false; ///< Suspected of crashing endpoints: nothing else is in flight at its endpoint.
+    EndpointKind kind = EndpointKind::Engine; ///< Kind of endpoint: engine or service.
+    std::string name; ///< Name of the model or service.
+    ProgramId program; ///< Program that makes the call; the endpoints that it used before hold its cache.
+    TenantId tenant; ///< Customer, for fair queueing.
+    std::uint64_t promptTokens = 0; ///< Estimated size of the prompt, including the history.
+    std::uint32_t maxTokens = 0; ///< Limit of the output.
+    std::uint64_t attainedTokens =
+        0; ///< Tokens that the program has used; programs with more go first, see docs/POLICY.md.
+    std::string fingerprint; ///< Fingerprint of customer and content, for quarantine.
+    std::vector<EndpointId> excluded; ///< Endpoints at which the call has failed.
+    std::int64_t deadlineMs = 0; ///< How long the attempt may wait for a permit, in milliseconds; 0 for the default.
+    bool isolated = false; ///< Suspected of crashing endpoints: must be the only work in flight at its endpoint.
 };
 
-/** Leave to run one attempt at one endpoint; given back by `release`, exactly once. */
+/** Permission to run one attempt at one endpoint; must be returned by `release` exactly once. */
 struct DispatchPermit
 {
-    std::uint64_t id = 0; ///< Unique in this process.
-    EndpointId endpoint; ///< Where to run.
-    std::int32_t priority = 0; ///< For the engine; less goes first.
+    std::uint64_t id = 0; ///< Id, unique in this process.
+    EndpointId endpoint; ///< Endpoint at which to run.
+    std::int32_t priority = 0; ///< Scheduling priority for the engine; lower values go first.
 };
 
 } // namespace Chestnuthook
--- a/src/entry/entry_peer_admit.cpp
+++ b/src/entry/entry_peer_admit.cpp
@@ -1,4 +1,4 @@
-/** @file entry_peer_admit.cpp  Admission on behalf of other entries. */
+/** @file entry_peer_admit.cpp  Serves admission requests of other entries. */
 #include "entry/entry_peer_base.h"
 
 #include <chrono>
@@ -25,7 +25,7 @@
         reply.setRecovering(verdict.recovering);
         if (verdict.state != AdmitState::Decided) {
             const std::string what =
-                verdict.state == AdmitState::NotYet ? "the slot is changing hands" : "not the owner";
+                verdict.state == AdmitState::NotYet ? "the slot is being handed over" : "not the owner";
             writeFailure(reply.initFailure(), Error{ErrorKind::NotReady, what, Ran::No, 0});
             continue;
         }
--- a/src/entry/entry_peer_base.h
+++ b/src/entry/entry_peer_base.h
@@ -1,5 +1,5 @@
-/** @file entry_peer_base.h  What this entry offers the other entries: admission for tenants whose slot it owns, permits
- * for endpoints that it dispatches, and running of calls whose programs it owns. */
+/** @file entry_peer_base.h  The RPC interface for other entries: admission for customers whose slot this entry owns,
+ * permits for endpoints that it dispatches, and forwarded requests for programs that it owns. */
 #pragma once
 
 #include "entry/entry_context_type.h"
@@ -8,7 +8,7 @@
 namespace Chestnuthook
 {
 
-/** On the control thread. Each method has a file of its own: entry_peer_admit, entry_peer_permit, entry_peer_forward.
+/** Runs on the control thread. Implemented in entry_peer_admit.cpp, entry_peer_permit.cpp and entry_peer_forward.cpp.
  */
 class EntryPeerServer final : public Wire::EntryPeer::Server
 {
--- a/src/entry/entry_peer_permit.cpp
+++ b/src/entry/entry_peer_permit.cpp
@@ -1,4 +1,4 @@
-/** @file entry_peer_permit.cpp  Permits for endpoints on behalf of other entries. */
+/** @file entry_peer_permit.cpp  Serves permit requests of other entries. */
 #include "entry/entry_peer_base.h"
 #include "rpc/message_func.h"
 
--- a/src/entry/fleet_follower_base.cpp
+++ b/src/entry/fleet_follower_base.cpp
@@ -1,4 +1,4 @@
-/** @file fleet_follower_base.cpp  Periodic confirmed reads of the fleet state. */
+/** @file fleet_follower_base.cpp  Follows the fleet state by periodic confirmed reads. */
 #include "entry/fleet_follower_base.h"
 
 #include <utility>
@@ -57,7 +57,7 @@
     view.adapters.erase(name.section == "adapters" ? name.name : "");
 }
 
-/** A key is usable while it is not withdrawn and its tenant is declared. */
+/** A key is valid while it is not withdrawn and its customer is declared. */
 void applyKey(FleetView &view, const KeyId &id, const VersionedTable<KeyId, KeyRecord>::Row &row)
 {
     const bool usable = !row.removed && !row.record.withdrawn && view.tenants.contains(row.record.tenant);
@@ -68,7 +68,7 @@
     }
 }
 
-/** Entries and slots are few and are taken whole. */
+/** Copies all entries and slots, as there are few. */
 void copyLeases(FleetView &view, const FleetState &state)
 {
     view.entries.clear();
@@ -83,7 +83,7 @@
     }
 }
 
-/** Strikes expire, so they are few and are taken whole. */
+/** Copies all strikes; there are few, as they expire. */
 void copyStrikes(FleetView &view, const FleetState &state)
 {
     view.strikes.clear();
@@ -185,21 +185,22 @@
     const bool drainRequested =
         own != nullptr && own->state == EntryState::Draining && this->self.state == EntryState::Live;
     if (drainRequested && this->onDrainRequested) {
-        this->onDrainRequested(); // Ends in another poll, which reads.
+        this->onDrainRequested(); // Calls poll() again, which does the read.
         return;
     }
     this->busy = true;
     const Instant sentAt = this->timers.now();
-    this->pendingRead = this->client.sync(this->self, this->state.index(), this->state.revision().value)
-                            .then(
-                                [this, sentAt](SyncResponse &&response) {
-                                    this->busy = false;
-                                    this->handleResponse(response, sentAt);
-                                },
-                                [this](kj::Exception && /*exception*/) {
-                                    this->busy = false; // The client has turned to another member.
-                                })
-                            .eagerlyEvaluate(nullptr);
+    this->pendingRead =
+        this->client.sync(this->self, this->state.index(), this->state.revision().value)
+            .then(
+                [this, sentAt](SyncResponse &&response) {
+                    this->busy = false;
+                    this->handleResponse(response, sentAt);
+                },
+                [this](kj::Exception && /*exception*/) {
+                    this->busy = false; // The client has switched to another control member; the next poll retries.
+                })
+            .eagerlyEvaluate(nullptr);
 }
 
 void FleetFollower::handleResponse(const SyncResponse &response, Instant sentAt)
--- a/src/entry/fleet_follower_base.h
+++ b/src/entry/fleet_follower_base.h
@@ -1,4 +1,4 @@
-/** @file fleet_follower_base.h  Keeps the entry's lease and its copy of the fleet state. */
+/** @file fleet_follower_base.h  Renews the lease of the entry and keeps its copy of the fleet state up to date. */
 #pragma once
 
 #include <functional>
@@ -11,39 +11,40 @@
 namespace Chestnuthook
 {
 
-/** The view of the whole of @p state; costs as much as it has tenants (docs/CAPACITY.md). */
+/** Builds a view from scratch. The cost grows with the number of customers (docs/CAPACITY.md). */
 [[nodiscard]] std::shared_ptr<const FleetView> makeView(const FleetState &state);
 
-/** The view of @p state, made from @p old, that of the same copy at log index @p since: only changed rows are parsed.
- */
+/** Builds the view of @p state from @p old, the view of the same copy at log index @p since. Parses only the rows that
+ * changed since then. */
 [[nodiscard]] std::shared_ptr<const FleetView> updateView(
     const FleetView &old, const FleetState &state, std::uint64_t since);
 
-/** For the control thread; publishes views for traffic threads. */
+/** Follows the fleet state on the control thread and publishes views for the traffic threads. */
 class FleetFollower
 {
 public:
     FleetFollower(ControlClient &client, TimerService &timers, EntryRecord self);
 
-    /** Starts the periodic read. */
+    /** Starts the periodic reads. */
     void start();
     void stop();
 
-    /** From the next read on, the entry is listed as draining and gets no slots. */
+    /** Marks the entry as draining from the next read on; it is then assigned no slots. */
     void drain();
 
-    /** Called after each read that changed something. */
+    /** Called after each read that changed the fleet state or the lease. */
     std::function<void()> onChange;
 
-    /** Called at a poll once an operator has set this entry to draining; it calls `drain`. May be empty. */
+    /** Called at each poll while an operator has set this entry to draining and `drain` was not called yet; must lead
+     * to a call of `drain`. May be empty. */
     std::function<void()> onDrainRequested;
 
-    /** Whether the view is recent enough to admit requests. */
+    /** Whether the view is fresh enough to admit requests. */
     [[nodiscard]] bool isFresh() const;
 
-    FleetViewHolder views; ///< For traffic threads.
-    FleetState state; ///< The copy; never moves to an older state.
-    EntryRecord self; ///< With the epoch of the lease; 0 where there is none.
+    FleetViewHolder views; ///< Published views, for the traffic threads.
+    FleetState state; ///< The local copy; never reverts to an older state.
+    EntryRecord self; ///< Record of this entry; its epoch is that of the lease, or 0 without one.
 
 private:
     void poll();
@@ -52,10 +53,10 @@
 
     ControlClient &client; ///< Outlives this.
     TimerService &timers; ///< Outlives this.
-    TimerSubscription subscription; ///< The periodic read.
-    kj::Promise<void> pendingRead; ///< The read under way.
-    bool busy = false; ///< A read is under way; at most one is.
-    bool wasFresh = false; ///< To tell changes of freshness.
+    TimerSubscription subscription; ///< Timer of the periodic reads.
+    kj::Promise<void> pendingRead; ///< The read in progress.
+    bool busy = false; ///< Whether a read is in progress; there is at most one.
+    bool wasFresh = false; ///< Freshness at the last poll, to log changes.
 };
 
 } // namespace Chestnuthook
--- a/src/entry/fleet_view_type.h
+++ b/src/entry/fleet_view_type.h
@@ -1,5 +1,5 @@
-/** @file fleet_view_type.h  What traffic threads know of the fleet: an immutable snapshot with the time up to which it
- * may be relied on. */
+/** @file fleet_view_type.h  The traffic threads' view of the fleet state: an immutable snapshot and the time until
+ * which it is fresh. */
 #pragma once
 
 #include <atomic>
@@ -17,42 +17,42 @@
 namespace Chestnuthook
 {
 
-/** A caller, as its key tells. */
+/** A client, identified by its API key. */
 struct ClientIdentity
 {
-    TenantId tenant; ///< For whom requests run.
-    KeyId key; ///< Which key came.
+    TenantId tenant; ///< Customer on whose behalf requests run.
+    KeyId key; ///< Id of the API key.
 };
 
-/** How often a request was in flight where an endpoint died. */
+/** The strikes against a request: deaths of endpoints while it was in flight there. */
 struct StrikeView
 {
-    std::uint32_t strikes = 0; ///< Deaths that it is suspected of.
-    std::int64_t expiresAtMs = 0; ///< Milliseconds since 1970; after this it counts as clean.
+    std::uint32_t strikes = 0; ///< Number of endpoints that died.
+    std::int64_t expiresAtMs = 0; ///< When the strikes expire, in milliseconds since 1970.
 };
 
-/** Immutable; replaced as a whole. */
+/** A snapshot of the fleet state. Immutable; a change replaces the whole view. */
 struct FleetView
 {
-    Revision revision; ///< Of the declarations.
+    Revision revision; ///< Revision of the declarations.
     std::unordered_map<std::string, ClientIdentity>
-        clients; ///< By raw SHA-256 of the key; withdrawn keys are not in it.
-    std::unordered_map<TenantId, TenantDeclaration> tenants; ///< Declared tenants.
+        clients; ///< Clients by raw SHA-256 of the API key, without withdrawn keys.
+    std::unordered_map<TenantId, TenantDeclaration> tenants; ///< Declared customers.
     std::unordered_map<ModelId, ModelDeclaration> models; ///< Declared models.
     std::unordered_map<ServiceId, ServiceDeclaration> services; ///< Declared services.
-    RouteTable routes; ///< Open to all; see isOpenToAll.
+    RouteTable routes; ///< Routes that need no API key; see isOpenToAll.
     std::unordered_map<std::string, PoolDeclaration> pools; ///< Declared pools.
     std::unordered_map<std::string, AdapterDeclaration> adapters; ///< Declared adapters.
-    SiteDeclaration site; ///< Budgets and retention.
-    std::vector<EntryRecord> entries; ///< With a lease; draining ones too.
-    std::vector<SlotRecord> slots; ///< By slot number.
-    std::unordered_map<std::string, StrikeView> strikes; ///< By fingerprint of the request.
+    SiteDeclaration site; ///< Default budgets and retention.
+    std::vector<EntryRecord> entries; ///< Entries that hold a lease, including draining ones.
+    std::vector<SlotRecord> slots; ///< Slots by number.
+    std::unordered_map<std::string, StrikeView> strikes; ///< Strikes by fingerprint of the request.
 };
 
-/** Past this age, from when a confirmed read was sent, nothing is admitted. */
+/** No request is admitted under an older view. The age counts from when the confirmed read of the view was sent. */
 constexpr Duration MaxViewAge = std::chrono::milliseconds(3000);
 
-/** The current view; read by traffic threads, written by the control thread. */
+/** Holds the current view; read by traffic threads, written by the control thread. */
 class FleetViewHolder
 {
 public:
@@ -65,17 +65,17 @@
         this->view.store(std::move(next));
     }
 
-    /** Whether requests may be admitted under the view at @p now. */
+    /** Whether the view is fresh enough at @p now to admit requests. */
     [[nodiscard]] bool isFresh(Instant now) const
     {
         return now.us < this->freshUntilUs.load();
     }
-    /** Whether the view was read by a request that was sent after @p time. */
+    /** Whether the confirmed read of the view was sent after @p time. */
     [[nodiscard]] bool wasReadAfter(Instant time) const
     {
         return (time + MaxViewAge).us < this->freshUntilUs.load();
     }
-    /** Until when the view may be relied on. */
+    /** When the view stops being fresh. */
     [[nodiscard]] Instant freshUntil() const
     {
         return Instant(this->freshUntilUs.load());
@@ -87,7 +87,8 @@
 
 private:
     std::atomic<std::shared_ptr<const FleetView>> view; ///< Null until the first confirmed read.
-    std::atomic<std::int64_t> freshUntilUs = 0; ///< From when the last confirmed read was sent, plus the bound.
+    std::atomic<std::int64_t> freshUntilUs =
+        0; ///< When the last confirmed read was sent, plus MaxViewAge; in microseconds.
 };
 
 } // namespace Chestnuthook
--- a/src/entry/permit_broker_base.cpp
+++ b/src/entry/permit_broker_base.cpp
@@ -1,4 +1,4 @@
-/** @file permit_broker_base.cpp  The asker's side of permits. */
+/** @file permit_broker_base.cpp  Acquires permits from the dispatchers of endpoints. */
 #include "entry/permit_broker_base.h"
 
 #include <algorithm>
@@ -13,19 +13,19 @@
 namespace
 {
 
-/** Bound of the wait for a permit where the demand names none. */
+/** Maximum wait for a permit if the request has no deadline. */
 constexpr std::int64_t DefaultMaxWaitMs = 30'000;
 
-/** How often tickets are looked through for deadlines, lost endpoints and changed dispatchers. */
+/** How often permits are checked for deadlines, lost endpoints and changed dispatchers. */
 constexpr Duration TickInterval = std::chrono::milliseconds(200);
 
-/** Tokens expected of an answer whose bound is not named. */
+/** Expected output of a call, unless its limit is lower. */
 constexpr double DefaultOutputTokens = 120;
 
-/** When a caller is told to come back after it waited in vain. */
+/** Retry-After for a client whose wait for a permit failed, in milliseconds. */
 constexpr std::int64_t OverloadedRetryAfterMs = 2000;
 
-/** Tokens of queue that a token of prefill outweighs, so that programs stay where their cache is. */
+/** Weight of an uncached prompt token against a queued token. High, so that programs stay where their cache is. */
 constexpr double CacheWeight = 16;
 
 EndpointSign healthSignalOf(const AttemptOutcome &outcome)
@@ -87,7 +87,7 @@
     std::copy_if(all.begin(), all.end(), std::back_inserter(usable), [&](const ListedEndpoint *endpoint) {
         return this->health.usable(endpoint->id, now);
     });
-    return usable.empty() ? all : usable; // Where all look lost, one of them is tried.
+    return usable.empty() ? all : usable; // If all look unhealthy, one of them is tried anyway.
 }
 
 EndpointEstimate PermitBroker::estimate(const EndpointId &endpoint, const ProgramId &program) const
@@ -138,7 +138,7 @@
         now + std::chrono::milliseconds(request.deadlineMs > 0 ? request.deadlineMs : DefaultMaxWaitMs);
     localPermit.fulfiller = kj::mv(paf.fulfiller);
     if (!this->selectEndpoint(id, localPermit, now)
-        && !this->endpointList->empty()) { // Before the first list came, calls wait for it.
+        && !this->endpointList->empty()) { // Until the first list is received, calls wait.
         this->reject(id, ErrorKind::NoEndpoint, request.name);
     }
     return kj::mv(paf.promise);
@@ -211,7 +211,7 @@
     localPermit.running = true;
     localPermit.fallback = fallback;
     constexpr std::uint64_t MaxPriority = std::numeric_limits<std::int32_t>::max();
-    // As in the queue: the program with the most service first.
+    // As in the queue, the program that has used the most tokens goes first.
     const auto priority = -static_cast<std::int32_t>(std::min(localPermit.request.attainedTokens, MaxPriority));
     localPermit.fulfiller->fulfill(
         kj::heap<PermitResult>(PermitResult{DispatchPermit{id, localPermit.endpoint, priority}, std::nullopt}));
@@ -343,7 +343,7 @@
             this->releaseAtDispatcher(id, localPermit);
             this->reject(id, ErrorKind::NoEndpoint, localPermit.request.name);
         } else if (!localPermit.running && unusable) {
-            // Another permit id, so that a late grant of the old one can't be taken for the new one's.
+            // A new id, so that a late grant of the old permit can't be mistaken for a grant of the new one.
             const std::uint64_t next = ++this->lastPermit;
             LocalPermit movedPermit = std::move(localPermit);
             this->localPermits.erase(found);
--- a/src/entry/permit_broker_base.h
+++ b/src/entry/permit_broker_base.h
@@ -1,5 +1,5 @@
-/** @file permit_broker_base.h  Permits on the control thread: chooses endpoints, asks their dispatchers in batches, and
- * dispatches the endpoints that fall to this entry. */
+/** @file permit_broker_base.h  Permits on the control thread: selects endpoints, requests permits from their
+ * dispatchers in batches, and grants permits as the dispatcher of the endpoints assigned to this entry. */
 #pragma once
 
 #include <atomic>
@@ -24,71 +24,73 @@
 namespace Chestnuthook
 {
 
-constexpr std::size_t EngineInFlight = 32; ///< Calls in flight at one engine.
-constexpr std::size_t ServiceInFlight = 64; ///< Calls in flight at one service replica.
+constexpr std::size_t EngineInFlight = 32; ///< Maximum number of calls in flight at one engine.
+constexpr std::size_t ServiceInFlight = 64; ///< Maximum number of calls in flight at one service replica.
 
 [[nodiscard]] constexpr std::size_t inFlightBound(EndpointKind kind)
 {
     return kind == EndpointKind::Engine ? EngineInFlight : ServiceInFlight;
 }
 
-/** How the wait for a permit ended. */
+/** Result of a wait for a permit. */
 struct PermitResult
 {
-    DispatchPermit permit; ///< Valid where there is no error.
-    std::optional<Error> error; ///< Why there is none.
+    DispatchPermit permit; ///< Valid if there is no error.
+    std::optional<Error> error; ///< Why no permit was granted.
 };
 
-/** For the control thread only. */
+/** Requests and grants permits; for the control thread only. */
 class PermitBroker
 {
 public:
     PermitBroker(ControlLoop &loop, FleetFollower &follower, PeerLinks &peers);
 
-    /** Waits for a permit at the endpoint that promises the earliest completion. Errors as Dispatch::acquire. */
+    /** Waits for a permit at the endpoint with the earliest predicted completion. Errors as for Dispatch::acquire. */
     [[nodiscard]] kj::Promise<kj::Own<PermitResult>> acquire(const DispatchRequest &request);
 
-    /** The attempt under @p permit has ended. */
+    /** Releases @p permit after its attempt has ended. */
     void release(const DispatchPermit &permit, const DispatchRequest &request, const AttemptOutcome &outcome);
 
-    /** Answers other entries as the dispatcher of their endpoints. */
+    /** Serves permit requests of other entries, as the dispatcher of the endpoints. */
     void handleRequests(
         capnp::List<Wire::PermitRequest>::Reader requests, capnp::List<Wire::PermitReply>::Builder replies);
-    /** Another entry's permits have ended. */
+    /** Releases permits of another entry. */
     void handleRelease(const EntryId &entry, capnp::List<std::uint64_t>::Reader permits);
-    /** A dispatcher grants permits that waited. */
+    /** Handles grants by a dispatcher for permits that were queued. */
     void handleGranted(capnp::List<std::uint64_t>::Reader permits);
 
+    /** Applies a changed view of the fleet state. */
     void onViewChange();
-    /** From any thread. */
+    /** Sets the latest endpoint list; from any thread. */
     void setEndpoints(std::shared_ptr<const EndpointList> next);
 
 private:
-    /** A permit that waits or is in use. */
+    /** A permit of this entry that is waiting or in use. */
     struct LocalPermit
     {
-        DispatchRequest request; ///< As asked for.
-        EndpointId endpoint; ///< Where.
-        double uncachedTokens = 0; ///< Prefill expected there.
-        Instant requestedAt; ///< For ageing.
-        Instant deadline; ///< For the wait.
-        bool running = false; ///< Granted.
-        bool fallback = false; ///< Granted without a dispatcher; it is told as soon as it can be reached.
-        EntryId requestedFrom; ///< The dispatcher that it was asked of.
-        bool acknowledged = false; ///< That dispatcher has answered.
-        kj::Own<kj::PromiseFulfiller<kj::Own<PermitResult>>> fulfiller; ///< While it waits.
+        DispatchRequest request; ///< Requirements of the attempt.
+        EndpointId endpoint; ///< The selected endpoint.
+        double uncachedTokens = 0; ///< Prompt tokens that the endpoint is expected to have to prefill.
+        Instant requestedAt; ///< When it was requested, for the ageing of queued calls.
+        Instant deadline; ///< When the wait ends.
+        bool running = false; ///< Whether it was granted.
+        bool fallback = false; ///< Granted while the dispatcher was unreachable, which is informed as soon as possible.
+        EntryId requestedFrom; ///< The dispatcher that it was requested from.
+        bool acknowledged = false; ///< Whether that dispatcher has replied.
+        kj::Own<kj::PromiseFulfiller<kj::Own<PermitResult>>> fulfiller; ///< Receives the result of the wait.
     };
-    /** What other dispatchers said of one endpoint. */
+    /** Load of an endpoint as last reported by its dispatcher, plus requests of this entry since. */
     struct RemoteLoad
     {
-        double inFlight = 0; ///< Calls there, and own ones since.
-        double backlog = 0; ///< Their tokens.
+        double inFlight = 0; ///< Number of calls in flight.
+        double backlog = 0; ///< Their expected tokens.
     };
+    /** Messages to be sent to one dispatcher. */
     struct Outbox
     {
-        std::vector<std::uint64_t> requests; ///< Permits to ask for, or to tell of.
-        std::map<EndpointId, std::vector<std::uint64_t>> releases; ///< Not confirmed yet.
-        bool busy = false; ///< A batch is under way.
+        std::vector<std::uint64_t> requests; ///< Permits to request, or to report as running.
+        std::map<EndpointId, std::vector<std::uint64_t>> releases; ///< Releases that the dispatcher has not confirmed.
+        bool busy = false; ///< A batch is in flight.
     };
 
     [[nodiscard]] const ListedEndpoint *findListed(const EndpointId &endpoint) const;
@@ -118,18 +120,18 @@
     ControlLoop &loop; ///< Outlives this.
     FleetFollower &follower; ///< Outlives this.
     PeerLinks &peers; ///< Outlives this.
-    std::atomic<std::shared_ptr<const EndpointList>> platformList; ///< The platform's list; never null.
-    std::shared_ptr<const EndpointList> endpointList; ///< The one in use on the control thread; never null.
-    PermitLedger ledger; ///< Endpoints that fall to this entry.
-    std::map<std::uint64_t, LocalPermit> localPermits; ///< By permit id.
-    std::map<EntryId, Outbox> outboxes; ///< By dispatcher.
-    std::map<EndpointId, RemoteLoad> remoteLoads; ///< Of endpoints dispatched elsewhere.
-    std::map<EndpointId, std::size_t> fallbacks; ///< Permits in use without a dispatcher.
-    EndpointHealth health; ///< As this entry saw it.
-    PrefixIndex prefixes; ///< Of the programs that ran from here.
-    std::uint64_t selectionState = 0; ///< Of the choice's rule.
-    std::uint64_t lastPermit = 0; ///< Id of the last permit.
-    TimerSubscription tickTimer; ///< Runs `tick`; made on first use.
+    std::atomic<std::shared_ptr<const EndpointList>> platformList; ///< The latest list of the platform; never null.
+    std::shared_ptr<const EndpointList> endpointList; ///< The list in use on the control thread; never null.
+    PermitLedger ledger; ///< Permits at the endpoints that this entry dispatches.
+    std::map<std::uint64_t, LocalPermit> localPermits; ///< Permits of this entry by id.
+    std::map<EntryId, Outbox> outboxes; ///< Outboxes by dispatcher.
+    std::map<EndpointId, RemoteLoad> remoteLoads; ///< Loads of the endpoints that other entries dispatch.
+    std::map<EndpointId, std::size_t> fallbacks; ///< Number of fallback grants by endpoint.
+    EndpointHealth health; ///< Health of the endpoints as seen by this entry.
+    PrefixIndex prefixes; ///< Cached prompt prefixes of programs that ran from this entry.
+    std::uint64_t selectionState = 0; ///< State of the selection policy.
+    std::uint64_t lastPermit = 0; ///< Id of the most recent permit.
+    TimerSubscription tickTimer; ///< Runs `tick`; started on first use.
 };
 
 } // namespace Chestnuthook
--- a/src/entry/permit_exchange_base.cpp
+++ b/src/entry/permit_exchange_base.cpp
@@ -1,4 +1,4 @@
-/** @file permit_exchange_base.cpp  Messages about permits between askers and dispatchers. */
+/** @file permit_exchange_base.cpp  Messages about permits between entries and the dispatchers of endpoints. */
 #include <algorithm>
 #include <utility>
 
@@ -33,7 +33,7 @@
         return;
     }
     outbox.busy = true;
-    // Later in this turn, so that permits which are wanted together go together.
+    // Sends at the end of this turn of the event loop, so that permits requested together share a batch.
     this->loop.detach(kj::evalLast([this, entry]() {
         this->send(entry);
     }));
@@ -64,7 +64,7 @@
                               },
                               [this, address, entry, ids](kj::Exception && /*exception*/) {
                                   this->peers.reset(address);
-                                  this->outboxes[entry].busy = false; // The next tick sends again.
+                                  this->outboxes[entry].busy = false; // The next tick retries.
                                   this->grantFallbacks(ids);
                               }));
 }
@@ -81,7 +81,7 @@
         for (unsigned i = 0; i < requests.size(); ++i) {
             const auto found = this->localPermits.find(ids[i]);
             if (found == this->localPermits.end()) {
-                continue; // Gone since; without an endpoint it is not counted.
+                continue; // Ended since; a request without an endpoint is ignored.
             }
             const LocalPermit &localPermit = found->second;
             const WaitingCall call = this->waitingCallFor(localPermit);
@@ -114,7 +114,8 @@
             if (error.kind == ErrorKind::Overloaded) {
                 this->reject(ids[i], error.kind, error.what);
             }
-            continue; // Not the dispatcher, by its own view: one of the two views is late; the next tick asks again.
+            continue; // It isn't the dispatcher by its own view. One of the two views is outdated; the next tick
+                      // retries.
         }
         LocalPermit &localPermit = found->second;
         localPermit.acknowledged = true;
@@ -152,7 +153,7 @@
         return kj::joinPromises(all.finish());
     });
     return this->loop.kjTimer().timeoutAfter(PeerRequestTimeout, kj::mv(sent)).then([this, entry, releases]() {
-        // Confirmed; what came meanwhile stays.
+        // Confirmed: remove these releases, but keep those added meanwhile.
         auto &left = this->outboxes[entry].releases;
         for (const auto &[endpoint, permits] : releases) {
             std::erase_if(left[endpoint], [&permits = permits](std::uint64_t id) {
@@ -221,7 +222,7 @@
     for (const PermitKey &key : this->ledger.takeShed()) {
         if (key.entry == this->follower.self.id) {
             this->reject(key.permit, ErrorKind::Overloaded, "the queue of the endpoint is full");
-        } // Others learn it when they ask again.
+        } // Other entries learn of it when they send the request again.
     }
     for (auto &[entry, permits] : byEntry) {
         if (entry == this->follower.self.id) {
@@ -244,7 +245,7 @@
         }
         return request.send().ignoreResult();
     });
-    // Where it is lost, the asker asks again, and is told.
+    // If the message is lost, the entry requests the permit again and learns that it was granted.
     return this->loop.kjTimer()
         .timeoutAfter(PeerRequestTimeout, kj::mv(sent))
         .catch_([](kj::Exception && /*exception*/) {});
--- a/src/entry/quarantine_base.cpp
+++ b/src/entry/quarantine_base.cpp
@@ -1,4 +1,4 @@
-/** @file quarantine_base.cpp  Strikes against requests. */
+/** @file quarantine_base.cpp  Records and looks up strikes against requests. */
 #include "entry/quarantine_base.h"
 
 #include <algorithm>
@@ -20,7 +20,7 @@
 
 constexpr std::int64_t StrikeTtlMs = 10L * 60 * 1000;
 
-/** After this time the fleet state's copy holds what was told. */
+/** After this time, in milliseconds, the copy of the fleet state has a strike that a peer reported. */
 constexpr std::int64_t RecentStrikeTtlMs = 5000;
 constexpr auto PeerNotifyTimeout = 300 * kj::MILLISECONDS;
 constexpr std::size_t MaxRecentFingerprints = 10'000;
@@ -110,7 +110,7 @@
             });
         notifications.add(this->timer.timeoutAfter(PeerNotifyTimeout, kj::mv(notification))
                               .catch_([](kj::Exception && /*exception*/) {
-                                  // It reads the strike from the fleet state.
+                                  // That entry will read the strike from the fleet state.
                               }));
     }
     return kj::joinPromises(notifications.releaseAsArray());
--- a/src/entry/quarantine_base.h
+++ b/src/entry/quarantine_base.h
@@ -1,5 +1,6 @@
-/** @file quarantine_base.h  Requests that were in flight where endpoints died: strikes in the fleet state, by
- * fingerprint of tenant and content, whatever program or entry they come through. */
+/** @file quarantine_base.h  Quarantine of requests that are suspected of crashing endpoints. Each death of an endpoint
+ * is a strike in the fleet state against the request in flight. A request is identified by the fingerprint of its
+ * customer and content, so that strikes count whatever program or entry it comes through. */
 #pragma once
 
 #include <map>
@@ -16,13 +17,13 @@
 namespace Chestnuthook
 {
 
-/** From this many strikes on a request is refused; with fewer it runs alone at an endpoint. */
+/** A request with this many strikes is rejected; with fewer, but at least one, it runs in isolation at an endpoint. */
 constexpr std::uint32_t MinStrikesToRefuse = 2;
 
-/** Names a request by its tenant and content. */
+/** Hash of the customer and content of a request. */
 [[nodiscard]] std::string fingerprintOf(const TenantId &tenant, const CallRequest &request);
 
-/** For the control thread. */
+/** Tracks strikes; for the control thread only. */
 class Quarantine
 {
 public:
@@ -34,30 +35,31 @@
     {
     }
 
-    /** Takes in a strike that the fleet state's copy may not hold yet. */
+    /** Caches a strike that may not be in the copy of the fleet state yet. */
     void addRecentStrike(const std::string &fingerprint, const EndpointId &endpoint);
 
-    /** Strikes that count now. */
+    /** Number of strikes against the request that have not expired. */
     [[nodiscard]] std::uint32_t countStrikes(const std::string &fingerprint) const;
 
-    /** When a refusal of @p fingerprint ends, in milliseconds from now. */
+    /** Time until the strikes against @p fingerprint expire, in milliseconds. */
     [[nodiscard]] std::int64_t remainingRefusalMs(const std::string &fingerprint) const;
 
-    /** Records that @p endpoint died with the request in flight. @return its strikes then. */
+    /** Records that @p endpoint died with the request in flight. @return its number of strikes, this one included. */
     [[nodiscard]] kj::Promise<std::uint32_t> recordStrike(std::string fingerprint, EndpointId endpoint);
 
-    /** A suspect has run well, alone at an endpoint. */
+    /** Removes the strikes against a request, after it has run successfully in isolation. */
     [[nodiscard]] kj::Promise<void> clearStrikes(std::string fingerprint);
 
 private:
-    /** Tells the other entries, and waits for those that answer within TellTimeout. */
+    /** Reports a strike to the other entries and waits for their replies, at most for PeerNotifyTimeout. */
     [[nodiscard]] kj::Promise<void> notifyPeers(const std::string &fingerprint, const EndpointId &endpoint);
 
     FleetFollower &follower; ///< Outlives this.
     ControlClient &client; ///< Outlives this.
     PeerLinks &peers; ///< Outlives this.
     kj::Timer &timer; ///< Outlives this.
-    std::map<std::string, std::map<EndpointId, std::int64_t>> recent; ///< When each was told, in wall milliseconds.
+    std::map<std::string, std::map<EndpointId, std::int64_t>>
+        recent; ///< Wall time at which each strike was cached, in milliseconds, by fingerprint and endpoint.
 };
 
 } // namespace Chestnuthook
--- a/tests/process/admission_test.cpp
+++ b/tests/process/admission_test.cpp
@@ -1,5 +1,5 @@
-/** @file admission_test.cpp  A tenant's rate and burst over all entries of a real fleet, also while entries die, stand
- * still and join. */
+/** @file admission_test.cpp  The rate limit of a customer holds across all entries of a real fleet, also while entries
+ * are killed, paused and added. */
 #define BOOST_TEST_MODULE admission
 #include <boost/test/unit_test.hpp>
 
@@ -17,21 +17,21 @@
 
 using Clock = std::chrono::steady_clock;
 
-constexpr double Rate = 5; // Of the tenants below in deploy/kortagatt.yaml.
+constexpr double Rate = 5; // Of the customers below in deploy/kortagatt.yaml.
 constexpr double Burst = 15;
 
-/** A request that was let through: that happened between these times. */
+/** An admitted request; it was admitted between these two times. */
 struct Admitted
 {
-    Clock::time_point sent; ///< Before the request left.
-    Clock::time_point answered; ///< After the answer came.
+    Clock::time_point sent; ///< Before the request was sent.
+    Clock::time_point answered; ///< After the response was received.
 };
 
-/** Callers that send as fast as they can to all entries. */
-class Callers
+/** Clients that send requests to all entries as fast as they can. */
+class RequestLoad
 {
 public:
-    Callers(const ProcessFleet &fleet, const std::string &key, int perEntry)
+    RequestLoad(const ProcessFleet &fleet, const std::string &key, int perEntry)
     {
         for (const std::string &address : fleet.entryAddresses) {
             for (int i = 0; i < perEntry; ++i) {
@@ -43,9 +43,9 @@
             }
         }
     }
-    Callers(const Callers &) = delete;
-    Callers &operator=(const Callers &) = delete;
-    ~Callers()
+    RequestLoad(const RequestLoad &) = delete;
+    RequestLoad &operator=(const RequestLoad &) = delete;
+    ~RequestLoad()
     {
         this->stop();
     }
@@ -65,7 +65,8 @@
         return this->admitted.size();
     }
 
-    /** The most by which the requests that lie wholly in a window are over burst + rate * w. Call it after `stop`. */
+    /** The largest excess, over all time windows, of the requests admitted within a window of w seconds over
+     * burst + rate * w. Call it after `stop`. */
     [[nodiscard]] double worstExcess() const
     {
         double worst = -Burst;
@@ -82,7 +83,7 @@
         return worst;
     }
 
-    std::atomic<int> untrue = 0; ///< Refusals that don't say when to come back.
+    std::atomic<int> missingRetryAfter = 0; ///< Rejections without a retry delay.
 
 private:
     void send(const std::string &address, const std::string &key)
@@ -90,7 +91,7 @@
         const Clock::time_point sent = Clock::now();
         const HttpAnswer answer = httpAs(key, address, "POST", "/v1/programs", "{}");
         if (answer.status == 429 && answer.body.find("\"retry_after_ms\":") == std::string::npos) {
-            ++this->untrue;
+            ++this->missingRetryAfter;
         }
         const std::lock_guard lock(this->mutex);
         if (answer.status == 201) {
@@ -98,10 +99,10 @@
         }
     }
 
-    std::mutex mutex; ///< Guards `admitted`.
-    std::vector<Admitted> admitted; ///< Of all threads.
-    std::atomic<bool> stopping = false; ///< The threads are to end.
-    std::vector<std::thread> threads; ///< Callers.
+    std::mutex mutex; ///< Guards the member below.
+    std::vector<Admitted> admitted; ///< Admitted requests of all threads.
+    std::atomic<bool> stopping = false; ///< Tells the threads to end.
+    std::vector<std::thread> threads; ///< Client threads.
 };
 
 FleetSize sizeOf(int entries)
@@ -113,31 +114,31 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(one_bucket_counts_for_all_entries)
+BOOST_AUTO_TEST_CASE(rate_limit_holds_across_entries)
 {
     ProcessFleet fleet(sizeOf(3));
-    Callers callers(fleet, fleet.issueKey("nordurkort"), 4);
+    RequestLoad load(fleet, fleet.issueKey("nordurkort"), 4);
     BOOST_TEST(waitUntil([&]() {
-        return callers.count() >= 60;
+        return load.count() >= 60;
     }));
-    callers.stop();
-    BOOST_TEST(callers.worstExcess() <= 0.0);
-    BOOST_TEST(callers.untrue == 0);
+    load.stop();
+    BOOST_TEST(load.worstExcess() <= 0.0);
+    BOOST_TEST(load.missingRetryAfter == 0);
 }
 
-BOOST_AUTO_TEST_CASE(the_bound_holds_and_service_resumes_while_entries_die_stand_still_and_join)
+BOOST_AUTO_TEST_CASE(rate_limit_holds_while_entries_fail_and_join)
 {
     ProcessFleet fleet(sizeOf(4));
-    // Tenants whose slots different entries own, so that some lose their owner with each fault.
-    std::vector<std::unique_ptr<Callers>> tenants;
+    // Slots of these customers are owned by different entries, so that each fault takes the owner of some.
+    std::vector<std::unique_ptr<RequestLoad>> tenants;
     for (const char *tenant : {"nordurkort", "sumarkort", "fjallaprent", "heklukort"}) {
-        tenants.push_back(std::make_unique<Callers>(fleet, fleet.issueKey(tenant), 1));
+        tenants.push_back(std::make_unique<RequestLoad>(fleet, fleet.issueKey(tenant), 1));
     }
     const auto progress = [&](std::size_t more) {
         std::vector<std::size_t> wanted;
         wanted.reserve(tenants.size());
-        for (const auto &callers : tenants) {
-            wanted.push_back(callers->count() + more);
+        for (const auto &load : tenants) {
+            wanted.push_back(load->count() + more);
         }
         return waitUntil(
             [&]() {
@@ -160,9 +161,9 @@
     BOOST_TEST(progress(10));
     fleet.startEntry(2);
     BOOST_TEST(progress(10));
-    for (const auto &callers : tenants) {
-        callers->stop();
-        BOOST_TEST(callers->worstExcess() <= 0.0);
-        BOOST_TEST(callers->untrue == 0);
+    for (const auto &load : tenants) {
+        load->stop();
+        BOOST_TEST(load->worstExcess() <= 0.0);
+        BOOST_TEST(load->missingRetryAfter == 0);
     }
 }
--- a/tests/process/dispatch_test.cpp
+++ b/tests/process/dispatch_test.cpp
@@ -1,5 +1,5 @@
-/** @file dispatch_test.cpp  Permits over real entries: the bound on an endpoint's work, entries that die with permits,
- * endpoints that can't be reached, and dispatchers that stand still. */
+/** @file dispatch_test.cpp  Permits in a real fleet: the limit on the work in flight at an endpoint, entries that die
+ * while they hold permits, unreachable endpoints, and paused dispatchers. */
 #define BOOST_TEST_MODULE dispatch
 #include <boost/test/unit_test.hpp>
 
@@ -27,15 +27,15 @@
     return size;
 }
 
-/** The fake's present load as it reports it. */
-int runningAt(const std::string &engine)
+/** Number of calls that the fake engine reports as running; -1 if it can't be reached. */
+int runningCallsAt(const std::string &engine)
 {
     const std::string body = http(engine, "GET", "/v1/load").body;
     const std::size_t at = body.find("\"running\":");
     return at == std::string::npos ? -1 : std::stoi(body.substr(at + 10));
 }
 
-/** Runs @p count calls at the same time, spread over @p entries. @return how many were answered 200. */
+/** Runs @p count concurrent calls, distributed over @p entries. @return how many succeeded with status 200. */
 int runCalls(const ProcessFleet &fleet, int count, const std::vector<std::size_t> &entries)
 {
     std::atomic<int> answered = 0;
@@ -63,48 +63,48 @@
         thread.join();
     }
     for (const std::string &refusal : refusals) {
-        BOOST_TEST_MESSAGE("refused: " << refusal);
+        BOOST_TEST_MESSAGE("failed: " << refusal);
     }
     return answered;
 }
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(the_bound_of_an_engine_holds_over_all_entries_and_all_calls_end)
+BOOST_AUTO_TEST_CASE(engine_limit_holds_across_entries)
 {
     ProcessFleet fleet(sizeOf(3, 1));
     std::atomic<bool> done = false;
-    int most = 0;
-    std::thread watch([&]() {
+    int maxRunning = 0;
+    std::thread monitor([&]() {
         while (!done) {
-            most = std::max(most, runningAt(fleet.engineAddresses[0]));
+            maxRunning = std::max(maxRunning, runningCallsAt(fleet.engineAddresses[0]));
             std::this_thread::sleep_for(std::chrono::milliseconds(20));
         }
     });
     const int answered = runCalls(fleet, 48, {0, 1, 2});
     done = true;
-    watch.join();
+    monitor.join();
     BOOST_TEST(answered == 48);
-    BOOST_TEST(most <= 32);
-    BOOST_TEST(most > 20);
+    BOOST_TEST(maxRunning <= 32);
+    BOOST_TEST(maxRunning > 20);
 }
 
-BOOST_AUTO_TEST_CASE(permits_of_a_killed_entry_return_and_another_dispatcher_takes_over)
+BOOST_AUTO_TEST_CASE(recovers_permits_of_a_killed_entry)
 {
     ProcessFleet fleet(sizeOf(3, 2));
-    std::thread doomed([&]() {
+    std::thread failingCalls([&]() {
         runCalls(fleet, 24, {1});
     });
     BOOST_TEST(waitUntil([&]() {
-        return runningAt(fleet.engineAddresses[0]) + runningAt(fleet.engineAddresses[1]) > 4;
+        return runningCallsAt(fleet.engineAddresses[0]) + runningCallsAt(fleet.engineAddresses[1]) > 4;
     }));
     fleet.processes.at("entry-1")->signal(SIGKILL);
     fleet.processes.at("entry-1")->wait();
-    doomed.join();
+    failingCalls.join();
     BOOST_TEST(runCalls(fleet, 60, {0, 2}) == 60);
 }
 
-BOOST_AUTO_TEST_CASE(while_a_dispatcher_stands_still_calls_go_on_by_shares)
+BOOST_AUTO_TEST_CASE(calls_continue_while_a_dispatcher_is_paused)
 {
     ProcessFleet fleet(sizeOf(3, 4));
     BOOST_TEST(runCalls(fleet, 6, {0, 1, 2}) == 6);
@@ -113,13 +113,13 @@
     fleet.processes.at("entry-1")->signal(SIGCONT);
 }
 
-BOOST_AUTO_TEST_CASE(an_endpoint_that_died_but_is_still_listed_gets_nothing_after_the_first_failures)
+BOOST_AUTO_TEST_CASE(avoids_a_dead_endpoint_that_is_still_listed)
 {
     ProcessFleet fleet(sizeOf(2, 3));
     BOOST_TEST(runCalls(fleet, 6, {0, 1}) == 6);
     fleet.processes.at("engine-0")->signal(SIGKILL);
     fleet.processes.at("engine-0")->wait();
-    // Each entry may lose the calls that it sent before it knew; after that all are served by the others.
+    // Calls may fail until an entry has noticed the dead engine; after that the other engines serve all.
     runCalls(fleet, 12, {0, 1});
     BOOST_TEST(runCalls(fleet, 6, {0, 1}) >= 5);
 }
--- a/tests/unit/fleet_view_test.cpp
+++ b/tests/unit/fleet_view_test.cpp
@@ -1,5 +1,5 @@
-/** @file fleet_view_test.cpp  Views that are brought up to date change by change equal views made afresh; deltas that
- * are found by log index hold all that changed. */
+/** @file fleet_view_test.cpp  A view that is updated incrementally must equal a view built from scratch, and deltas by
+ * log index must hold all changes. */
 #define BOOST_TEST_MODULE fleet_view
 #include <random>
 #include <string>
@@ -19,7 +19,7 @@
 constexpr int Names = 12;
 constexpr int Steps = 600;
 
-/** A random command on a small set of tenants, keys and entries. */
+/** A random command on a small set of customers, keys and entries. */
 std::string randomCommand(std::mt19937 &random, std::uint64_t revision)
 {
     const std::string number = std::to_string(random() % Names);
@@ -94,7 +94,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(a_view_updated_by_deltas_equals_one_made_afresh)
+BOOST_AUTO_TEST_CASE(incremental_view_equals_rebuilt_view)
 {
     std::mt19937 random(7);
     FleetState leader;
@@ -104,7 +104,7 @@
     for (std::uint64_t index = 1; index <= Steps; ++index) {
         leader.apply(index, randomCommand(random, leader.revision().value));
         if (random() % 3 == 0) {
-            continue; // Several changes in one delta.
+            continue; // Collects several changes in one delta.
         }
         const std::uint64_t before = copy.index();
         capnp::MallocMessageBuilder message;
@@ -118,7 +118,7 @@
     BOOST_TEST(withKeys > Steps / 4);
 }
 
-BOOST_AUTO_TEST_CASE(a_copied_table_finds_its_own_changes)
+BOOST_AUTO_TEST_CASE(copied_table_indexes_its_own_rows)
 {
     FleetState leader;
     std::mt19937 random(8);
