--- a/src/entry/call_responder_base.cpp
+++ b/src/entry/call_responder_base.cpp
@@ -1,4 +1,4 @@
-/** @file call_responder_base.cpp  Passing a call's answer to its caller. */
+/** @file call_responder_base.cpp  Sends the result of a call to a client. */
 #include "entry/call_responder_base.h"
 
 #include <utility>
@@ -17,7 +17,7 @@
 constexpr int StatusOk = 200;
 constexpr std::size_t AttemptIdBytes = 12;
 
-/** How often a quiet stream's caller is looked after. */
+/** How often to check whether the client has disconnected while the stream is idle. */
 constexpr auto AbandonCheckInterval = std::chrono::milliseconds(200);
 
 } // namespace
--- a/src/entry/call_responder_base.h
+++ b/src/entry/call_responder_base.h
@@ -1,6 +1,5 @@
-/** @file call_responder_base.h  Gives one caller the answer to a call: the stored one, or the running call's as it
- * comes.
- */
+/** @file call_responder_base.h  Sends one client the result of a call: the stored one, or that of the running call as
+ * it arrives. */
 #pragma once
 
 #include <string>
@@ -18,20 +17,21 @@
 public:
     CallResponder(EntryContext &context, ResponseWriter &writer, ProgramId program, TenantId tenant);
 
-    /** Begins or joins the call and passes its answer on. Errors: those of the call, where nothing was written yet. */
+    /** Starts or joins the call and sends its result. Errors: those of the call, as long as no response was started. */
     Result<void> run(CallNumber number, const CallRequest &request);
 
-    /** Runs an idempotent request to a plain service, of which nothing is kept. */
+    /** Runs an idempotent service request outside a program; no record of it is kept. */
     Result<void> runStateless(const CallRequest &request, std::int64_t timeoutMs);
 
 private:
     Result<void> startWorker(const CallRequest &request, const CallStart &start);
+    /** Sends the text of the running call as it arrives, until the call ends or the client has gone. */
     Result<void> relay(CallStream &stream, const CallRequest &request, const AttemptId &attempt);
     Result<void> sendResponse(const Result<CallRecord> &result, const CallRequest &request);
     void writeChunk(const CallRequest &request, const AttemptId &attempt, std::string_view text);
 
     EntryContext &context; ///< Of the entry.
-    ResponseWriter &writer; ///< To the caller.
+    ResponseWriter &writer; ///< Response to the client.
     ProgramId program; ///< Whose call it is; empty for none.
     TenantId tenant; ///< For whom it runs.
 };
--- a/src/entry/call_stream_base.cpp
+++ b/src/entry/call_stream_base.cpp
@@ -1,4 +1,4 @@
-/** @file call_stream_base.cpp  Passing a call's text to its readers. */
+/** @file call_stream_base.cpp  Passes the text of a call to its readers. */
 #include "entry/call_stream_base.h"
 
 #include <utility>
--- a/src/entry/call_stream_base.h
+++ b/src/entry/call_stream_base.h
@@ -1,5 +1,5 @@
-/** @file call_stream_base.h  The text of a running call and its end, for any number of readers. The call itself runs on
- * a worker thread, so that a reader that goes away doesn't end it for the others. */
+/** @file call_stream_base.h  The text and result of a running call, for any number of readers. The call runs on a
+ * worker thread, so that a reader that disconnects doesn't end it for the others. */
 #pragma once
 
 #include <chrono>
@@ -15,7 +15,7 @@
 namespace Chestnuthook
 {
 
-/** Thread-safe; shared by one worker and the readers. */
+/** Shared by the worker that writes it and its readers. Thread-safe. */
 class CallStream
 {
 public:
@@ -24,23 +24,23 @@
     {
     }
 
-    /** What a reader has not seen yet. */
+    /** Text that a reader has not received yet. */
     struct Chunk
     {
-        std::string text; ///< What follows the offset that was asked for.
-        bool done = false; ///< The call has ended; `result` is set.
+        std::string text; ///< Text after the requested offset.
+        bool done = false; ///< The call has ended; `result` is valid.
     };
 
-    /** Adds text; for the worker. */
+    /** Appends text; for the worker. */
     void append(std::string_view text);
 
     /** Ends the call; for the worker, once. */
     void finish(Result<CallRecord> outcome);
 
-    /** Waits until there is more than @p offset bytes, or the end, or @p patience is over. */
+    /** Waits for text after @p offset bytes or the end of the call, at most for @p timeout. */
     Chunk read(std::size_t offset, std::chrono::milliseconds timeout);
 
-    /** The end of the call. Valid once a part was `done`. */
+    /** Result of the call. Valid once a chunk was `done`. */
     [[nodiscard]] const Result<CallRecord> &result() const
     {
         return this->outcome;
@@ -48,19 +48,20 @@
 
     void addReader();
 
-    /** The last reader to leave cancels the engine's work where the call may run again. */
+    /** When the last reader leaves, cancels the attempt in progress if the call is cancellable. */
     void removeReader();
 
-    CancelToken cancel; ///< Ends the attempt under way.
-    const bool cancellable; ///< Idempotent. Others run on, as only their result tells whether they ran.
+    CancelToken cancel; ///< Cancels the attempt in progress.
+    const bool
+        cancellable; ///< True for idempotent calls. Others run to the end, as only their result shows whether they ran.
 
 private:
-    std::mutex mutex; ///< Guards all below.
-    std::condition_variable changed; ///< Text or the end came.
-    std::string text; ///< So far.
-    bool done = false; ///< Never falls.
-    int readers = 0; ///< Who wait for it.
-    Result<CallRecord> outcome; ///< Written once, before `done`.
+    std::mutex mutex; ///< Guards the members below.
+    std::condition_variable changed; ///< Notified when text is appended or the call ends.
+    std::string text; ///< Text received so far.
+    bool done = false; ///< The call has ended; never reset.
+    int readers = 0; ///< Number of readers.
+    Result<CallRecord> outcome; ///< Set once, before `done`.
 };
 
 } // namespace Chestnuthook
--- a/src/entry/call_worker_base.cpp
+++ b/src/entry/call_worker_base.cpp
@@ -1,4 +1,4 @@
-/** @file call_worker_base.cpp  Attempts of one call. */
+/** @file call_worker_base.cpp  Runs the attempts of one call. */
 #include "entry/call_worker_base.h"
 
 #include <algorithm>
@@ -21,11 +21,11 @@
 constexpr int StatusTooManyRequests = 429;
 constexpr int StatusServerError = 500;
 
-/** A pause between two bytes that is longer than this share of the deadline counts as a hang. */
+/** An attempt times out after the timeout of the call divided by this number without receiving a byte. */
 constexpr std::int64_t EngineStallDivisor = 6;
 constexpr std::int64_t ServiceStallDivisor = 2;
 
-/** How long a call waits for an endpoint that can take it, while none is there. */
+/** Number and length of the waits of a call while no endpoint is available. */
 constexpr unsigned MaxEndpointWaits = 15;
 constexpr auto EndpointWaitInterval = std::chrono::milliseconds(200);
 
@@ -37,7 +37,7 @@
     return R"({"role":)" + jsonQuoted(message.role) + R"(,"content":)" + jsonQuoted(message.content) + "}";
 }
 
-/** Whether the endpoint answers its health check. */
+/** Whether the endpoint responds to a health check. */
 bool passesHealthCheck(const EndpointId &endpoint)
 {
     AttemptRequest request;
@@ -118,7 +118,7 @@
             this->context.programs.dropCall(this->program, 0);
         });
     } catch (const kj::Exception &) {
-        return; // The process is ending.
+        return; // The control thread has stopped: the process is shutting down.
     }
 }
 
@@ -178,7 +178,7 @@
         if (permit.error().kind != ErrorKind::NoEndpoint) {
             return this->failCall(permit.error().kind, permit.error().what, permit.error().retryAfterMs);
         }
-        this->dispatchRequest.excluded.clear(); // Rather one that failed before than none.
+        this->dispatchRequest.excluded.clear(); // Prefer an endpoint that failed before to none.
         return this->waitForEndpoint() ? NextStep::Retry
                                        : this->failCall(ErrorKind::NoEndpoint, this->dispatchRequest.name, 1000);
     }
@@ -272,7 +272,7 @@
 CallWorker::NextStep CallWorker::evaluateEngine(const AttemptOutcome &outcome)
 {
     if (outcome.complete) {
-        // The prompt of an attempt that continued the answer held what was sent before.
+        // An attempt that continues the output has the text that was sent before in its prompt.
         this->call.tokens = outcome.promptTokens + outcome.completionTokens;
         this->call.promptTokens = this->call.tokens - std::min(this->call.tokens, this->textChunks);
         this->call.finishReason = outcome.finishReason;
--- a/src/entry/call_worker_base.h
+++ b/src/entry/call_worker_base.h
@@ -1,5 +1,5 @@
-/** @file call_worker_base.h  Runs one call: attempts at endpoints until one gives the whole answer, which is then
- * committed. Runs on a worker thread, whoever reads the answer. */
+/** @file call_worker_base.h  Runs one call: makes attempts at endpoints until one returns a complete response, then
+ * commits the result. Runs on a worker thread, independently of the clients that read the result. */
 #pragma once
 
 #include <memory>
@@ -16,14 +16,14 @@
 class CallWorker
 {
 public:
-    /** @param program empty for an idempotent request to a plain service, of which nothing is kept. */
+    /** @param program empty for an idempotent service request outside a program, of which no record is kept. */
     CallWorker(EntryContext &context, ProgramId program, TenantId tenant, CallRequest request, CallStart start);
 
-    /** Runs the call and ends its stream. Does not throw. */
+    /** Runs the call and finishes its stream. Does not throw. */
     void run();
 
 private:
-    /** How the call went on after an attempt. */
+    /** What to do after an attempt. */
     enum class NextStep : std::uint8_t { Retry, Done, Failed };
 
     Result<CallRecord> runAttempts();
@@ -40,22 +40,23 @@
     Result<CallRecord> commit();
     void abandonCall();
 
-    EntryContext &context; ///< Of the entry.
-    ProgramId program; ///< Whose call it is; empty for none.
-    TenantId tenant; ///< For whom it runs.
-    CallRequest request; ///< What to run.
-    CallStart start; ///< From the runtime.
-    CallRecord call; ///< The result in the making; `answer` is the text so far.
-    DispatchRequest dispatchRequest; ///< Of the next attempt.
-    Instant deadline; ///< Nothing runs after it.
-    std::uint32_t strikes = 0; ///< Against this request.
-    unsigned attempts = 0; ///< Begun so far.
-    unsigned endpointWaits = 0; ///< For an endpoint.
-    std::uint64_t textChunks = 0; ///< Pieces of text that came.
-    bool mayHaveRun = false; ///< An attempt may have reached an endpoint.
+    EntryContext &context; ///< Shared state of the entry.
+    ProgramId program; ///< Program that makes the call; empty for none.
+    TenantId tenant; ///< Customer on whose behalf it runs.
+    CallRequest request; ///< The request to run.
+    CallStart start; ///< Parameters of the call from the program runtime.
+    CallRecord call; ///< The result so far; `answer` is the text received.
+    DispatchRequest dispatchRequest; ///< Requirements of the next attempt.
+    Instant deadline; ///< Deadline of the call.
+    std::uint32_t strikes = 0; ///< Strikes against the request.
+    unsigned attempts = 0; ///< Number of attempts started.
+    unsigned endpointWaits = 0; ///< Number of waits for an endpoint.
+    std::uint64_t textChunks = 0; ///< Number of chunks of text received.
+    bool mayHaveRun = false; ///< Whether an attempt may have reached an endpoint.
 };
 
-/** The engine's request: history and new messages as a chat completion that continues @p sent. */
+/** Builds the body of the chat completion request to an engine, without the closing brace: history and new messages,
+ * continuing the output @p sent. */
 [[nodiscard]] std::string engineRequestBody(
     const CallRequest &request, const CallStart &start, const std::string &sent);
 
--- a/src/entry/entry_peer_forward.cpp
+++ b/src/entry/entry_peer_forward.cpp
@@ -1,5 +1,5 @@
-/** @file entry_peer_forward.cpp  Requests forwarded by other entries, for programs that this entry owns, and results of
- * attempts that began there. */
+/** @file entry_peer_forward.cpp  Serves requests that other entries forward for programs that this entry owns, and the
+ * results of calls that were started at a previous owner. */
 #include <atomic>
 #include <memory>
 #include <utility>
@@ -14,15 +14,15 @@
 namespace
 {
 
-/** Shared by the RPC call on the control thread and the worker that serves it. */
+/** Shared by the RPC on the control thread and the worker that serves it. */
 struct ForwardedCall
 {
-    kj::Maybe<Wire::AnswerSink::Client> sink; ///< For the control thread.
-    kj::Maybe<kj::Own<kj::PromiseFulfiller<void>>> done; ///< For the control thread.
-    std::atomic<bool> abandoned = false; ///< The other entry no longer reads.
+    kj::Maybe<Wire::AnswerSink::Client> sink; ///< Receives the response; for the control thread.
+    kj::Maybe<kj::Own<kj::PromiseFulfiller<void>>> done; ///< Completes the RPC; for the control thread.
+    std::atomic<bool> abandoned = false; ///< The other entry no longer reads the response.
 };
 
-/** Sends the answer to the entry that the caller reached. */
+/** Sends the response to the entry that forwarded the request. */
 class PeerResponseWriter final : public ResponseWriter
 {
 public:
@@ -85,8 +85,8 @@
     }
 
     EntryContext &entry; ///< Outlives this.
-    std::shared_ptr<ForwardedCall> call; ///< The RPC call.
-    bool started = false; ///< The head was sent.
+    std::shared_ptr<ForwardedCall> call; ///< The RPC that forwarded the request.
+    bool started = false; ///< The status and headers were sent.
 };
 
 void serveForwarded(EntryContext &entry, const std::shared_ptr<ForwardedCall> &call, const ClientRequest &request)
--- a/src/entry/program_runtime_base.cpp
+++ b/src/entry/program_runtime_base.cpp
@@ -1,4 +1,4 @@
-/** @file program_runtime_base.cpp  Slots, look-ups and creation of programs. */
+/** @file program_runtime_base.cpp  Ownership of slots, and creation and lookup of programs. */
 #include "entry/program_runtime_base.h"
 
 #include <algorithm>
@@ -94,7 +94,7 @@
             for (const auto &[slot, epoch] : slots) {
                 const auto known = this->ownedSlots.find(slot);
                 if (known != this->ownedSlots.end() && known->second.epoch == epoch) {
-                    known->second.opening = false; // Tried again by the upkeep.
+                    known->second.opening = false; // The upkeep retries.
                 }
             }
             logEvent(EventKind::SlotMoved, {{"failed", programs.error().what}});
@@ -108,7 +108,7 @@
         const auto known = this->ownedSlots.find(slot);
         if (known != this->ownedSlots.end() && known->second.epoch == epoch) {
             if (known->second.stale) {
-                known->second = OwnedSlot{epoch, false, false, false}; // Read again.
+                known->second = OwnedSlot{epoch, false, false, false}; // The next update reads the slot again.
                 continue;
             }
             known->second = OwnedSlot{epoch, true, false, false};
@@ -205,7 +205,7 @@
     return this->client.submitJournal(command).then([this, command, slot, epoch = *epoch](Result<void> &&done) {
         const auto known = this->ownedSlots.find(slot);
         if (known == this->ownedSlots.end() || known->second.epoch != epoch) {
-            return Result<void>(kj::mv(done)); // The copy is gone.
+            return Result<void>(kj::mv(done)); // The slot has moved; its programs are no longer held here.
         }
         if (!known->second.ready) {
             known->second.stale = true;
--- a/src/entry/program_runtime_base.h
+++ b/src/entry/program_runtime_base.h
@@ -1,5 +1,5 @@
-/** @file program_runtime_base.h  The programs of the slots that this entry owns: their calls in order, their budgets,
- * and the journal writes that make each step last. */
+/** @file program_runtime_base.h  Runs the programs in the slots that this entry owns: orders their calls, enforces
+ * their budgets, and writes each step to the journal. */
 #pragma once
 
 #include <functional>
@@ -26,54 +26,58 @@
 /** A slot that this entry owns. */
 struct OwnedSlot
 {
-    Epoch epoch; ///< Under which the journal takes its writes.
-    bool ready = false; ///< Opened in the journal and its programs loaded.
-    bool opening = false; ///< Being taken over.
-    bool stale = false; ///< A commit was answered while the programs were read, which may not hold it yet.
+    Epoch epoch; ///< Epoch with which writes to the journal are fenced.
+    bool ready = false; ///< Opened in the journal, with its programs loaded.
+    bool opening = false; ///< Being opened.
+    bool stale =
+        false; ///< A commit completed while the programs were being loaded, so that the loaded state may lack it.
 };
 
-/** A call under way at this entry. */
+/** A call in progress at this entry. */
 struct RunningCall
 {
-    CallNumber number; ///< Of its program.
-    std::string digest; ///< Of its content.
-    AttemptId attempt; ///< Goes into the journal with the result.
-    std::shared_ptr<CallStream> stream; ///< Its text so far.
+    CallNumber number; ///< Number of the call in its program.
+    std::string digest; ///< Digest of the request.
+    AttemptId attempt; ///< Attempt id, journaled with the result.
+    std::shared_ptr<CallStream> stream; ///< Text received so far.
 };
 
-/** What to do about a call that was accepted. */
+/** How to proceed with an accepted call. */
 struct CallStart
 {
-    bool stored = false; ///< The call has ended; `call` is its result.
-    bool isNew = false; ///< The call is to be run, and `stream` filled; otherwise it is under way.
-    CallRecord call; ///< The stored result, or the call to run.
-    std::vector<ChatMessage> history; ///< Messages and answers of the calls before it.
-    std::shared_ptr<CallStream> stream; ///< Of the running call.
-    std::uint64_t maxPromptTokens = 0; ///< Model calls: the prompt has no more tokens than this.
-    std::uint32_t maxTokens = 0; ///< Model calls: bound of the answer, within the budget.
-    std::uint64_t attainedTokens = 0; ///< What the program has used so far.
-    std::int64_t timeoutMs = 0; ///< From now to the end of the last attempt.
-    bool idempotent = true; ///< May be tried again.
+    bool stored = false; ///< The call has ended; `call` holds its result.
+    bool isNew = false; ///< The call must be run, writing to `stream`; if neither is set, it is already running.
+    CallRecord call; ///< The stored result or the call to run.
+    std::vector<ChatMessage> history; ///< Messages and outputs of the previous calls.
+    std::shared_ptr<CallStream> stream; ///< Stream of the running call.
+    std::uint64_t maxPromptTokens = 0; ///< For model calls: upper bound of the prompt size.
+    std::uint32_t maxTokens = 0; ///< For model calls: limit of the output, within the budget.
+    std::uint64_t attainedTokens = 0; ///< Tokens that the program has used so far.
+    std::int64_t timeoutMs = 0; ///< Timeout of the call, over all attempts.
+    bool idempotent = true; ///< Whether the call may be retried after it was sent.
 };
 
-/** What a caller asks of a new program. */
+/** Parameters of a program to create. */
 struct ProgramParameters
 {
-    TenantId tenant; ///< Of the caller's key.
-    KeyId key; ///< The caller's; for events only.
-    Budget budget; ///< Parts that are 0 take the site's defaults.
-    ProgramId parent; ///< Empty for a root.
-    std::string idempotencyKey; ///< The caller's Idempotency-Key; empty for none.
-    std::string digest; ///< Of the request's content.
+    TenantId tenant; ///< Customer that the API key of the client belongs to.
+    KeyId key; ///< Id of the API key; for events only.
+    Budget
+        budget; ///< Budget; fields that are 0 take the site's defaults, or for a child a share of its parent's budget.
+    ProgramId parent; ///< Parent program; empty for a root program.
+    std::string idempotencyKey; ///< Idempotency-Key of the request; empty for none.
+    std::string digest; ///< Digest of the request.
 };
 
-/** Messages and answers of a program's model calls. */
+/** Messages and outputs of the successful model calls of a program. */
 [[nodiscard]] std::vector<ChatMessage> historyOf(const ProgramRecord &program);
 
-/** The id of the root program that @p key of @p tenant creates, so that a resend through any entry finds it. */
+/** Id of the root program that is created with idempotency key @p key of @p tenant. Derived from both, so that a retry
+ * through any entry finds the program. */
 [[nodiscard]] ProgramId programIdForKey(const TenantId &tenant, const std::string &key);
 
-/** For the control thread. Part of it stands in program_runtime_call.cpp and program_runtime_upkeep.cpp. */
+/** Runs on the control thread. Implemented in program_runtime_base.cpp, program_runtime_call.cpp and
+ * program_runtime_upkeep.cpp. */
 class ProgramRuntime
 {
 public:
@@ -83,38 +87,43 @@
     void start(TimerService &timers);
     void stop();
 
-    /** Takes over and gives up slots as the fleet state says; also tries again what failed. */
+    /** Opens slots that this entry has gained and drops those it has lost; retries slots that failed to open. */
     void updateSlots();
 
-    /** Returns blocks that no running call needs; before a planned stop. */
+    /** Returns reserved tokens that no running call needs; called before a graceful shutdown. */
     [[nodiscard]] kj::Promise<void> returnReservedTokens();
 
+    /** Creates a program. A child's budget is taken from its parent's. */
     [[nodiscard]] kj::Promise<Result<ProgramId>> create(ProgramParameters parameters);
+    /** Accepts a call, or finds the running or stored call of the same number and content. */
     [[nodiscard]] kj::Promise<Result<CallStart>> beginCall(
         ProgramId program, CallNumber number, TenantId tenant, CallRequest request);
 
-    /** Notes that @p endpoint is about to run the program, and takes a block where @p tokens are not held. */
+    /** Journals that @p endpoint is about to run a call of the program and, unless @p tokens are reserved already,
+     * reserves a block of tokens from its budget. */
     [[nodiscard]] kj::Promise<Result<void>> prepareAttempt(
         ProgramId program, EndpointId endpoint, std::uint64_t tokens);
 
-    /** Commits the result of a call that beginCall let run, here or at the slot's new owner. @return the result that
-     * counts: another one where a resend elsewhere ended first. */
+    /** Commits the result of a call that beginCall started, here or at the new owner of the slot. @return the committed
+     * result, which is another one if a retry through another entry ended first. */
     [[nodiscard]] kj::Promise<Result<CallRecord>> endCall(ProgramId program, CallRecord call);
 
-    /** Ends a call without a result; it may be sent again. */
+    /** Ends a call without recording a result, so that it can be retried. @param usedTokens tokens that it has used. */
     void dropCall(const ProgramId &program, std::uint64_t usedTokens);
 
-    /** Takes the result of an attempt that began at an earlier owner. */
+    /** Commits the result of a call, also one that was started by a previous owner of the slot. @param covered tokens
+     * of the result that were reserved beforehand. */
     [[nodiscard]] kj::Promise<Result<void>> commitResult(ProgramId program, CallRecord call, std::uint64_t covered);
+    /** Ends a program and cancels its running call if that is cancellable. */
     [[nodiscard]] kj::Promise<Result<void>> endProgram(ProgramId program, TenantId tenant);
 
-    /** The cache of an ended program was released at @p endpoint. */
+    /** Handles the outcome of releasing the cache of an ended program at @p endpoint. */
     [[nodiscard]] kj::Promise<void> onCacheReleased(ProgramId program, EndpointId endpoint, bool confirmed);
 
-    /** A copy of the program where the tenant may see it. */
+    /** A copy of the program. Errors: NotReady; NotFound; ForeignProgram if it belongs to another customer. */
     [[nodiscard]] Result<ProgramRecord> get(const ProgramId &program, const TenantId &tenant) const;
 
-    /** Whether all slots that the fleet state gives this entry are served. */
+    /** Whether the fleet state is fresh and all slots of this entry are open. */
     [[nodiscard]] Result<void> ready() const;
 
     [[nodiscard]] std::size_t runningCallCount() const
@@ -122,7 +131,8 @@
         return this->running.size();
     }
 
-    std::function<void(ProgramId, EndpointId)> releaseCache; ///< Begins a release; answered by `released`.
+    std::function<void(ProgramId, EndpointId)>
+        releaseCache; ///< Starts releasing a cache; must lead to a call of `onCacheReleased`.
 
 private:
     kj::Promise<void> openSlots(std::vector<std::pair<SlotId, Epoch>> slots);
@@ -156,19 +166,21 @@
     ControlClient &client; ///< Outlives this.
     PeerLinks &peers; ///< Outlives this.
     kj::Timer &timer; ///< Outlives this.
-    TimerSubscription subscription; ///< Runs the upkeep.
-    JournalState journal; ///< Of the owned slots; holds only what the journal has committed.
-    std::map<SlotId, OwnedSlot> ownedSlots; ///< By the fleet state.
-    std::map<ProgramId, RunningCall> running; ///< Calls under way; at most one per program.
-    std::map<ProgramId, std::uint64_t> reservedTokens; ///< Tokens taken in blocks and not used yet.
-    std::set<ProgramId>
-        pendingUpkeep; ///< Programs with dead intents, releases, children to end, or a retention to wait for.
-    std::set<ProgramId> upkeepInProgress; ///< Programs whose upkeep is under way.
-    std::map<ProgramId, std::int64_t> idleSinceMs; ///< Wall time since which ended programs run nothing.
-    std::set<AttemptId> unsentAttempts; ///< Attempts whose begin had no answer; nothing was sent under them.
-    kj::Promise<void> takeoverChain; ///< Chain of take-overs.
-    kj::Own<kj::TaskSet::ErrorHandler> taskErrorHandler; ///< Logs failed background work.
-    kj::Own<kj::TaskSet> taskSet; ///< Owns the tasks.
+    TimerSubscription subscription; ///< Timer of the upkeep.
+    JournalState journal; ///< Copy of the journal state of the owned slots; holds only committed changes.
+    std::map<SlotId, OwnedSlot> ownedSlots; ///< Slots that the fleet state assigns to this entry.
+    std::map<ProgramId, RunningCall> running; ///< Calls in progress, at most one per program.
+    std::map<ProgramId, std::uint64_t> reservedTokens; ///< Reserved tokens that are not used yet, by program.
+    std::set<ProgramId> pendingUpkeep; ///< Programs with orphaned intents, caches to release, children to end, or a
+                                       ///< retention to wait for.
+    std::set<ProgramId> upkeepInProgress; ///< Programs whose upkeep is in progress.
+    std::map<ProgramId, std::int64_t>
+        idleSinceMs; ///< Wall time since which no call of the program runs, in milliseconds.
+    std::set<AttemptId>
+        unsentAttempts; ///< Attempts that failed before anything was sent, though their intent may be in the journal.
+    kj::Promise<void> takeoverChain; ///< Opens slots, one batch after the other.
+    kj::Own<kj::TaskSet::ErrorHandler> taskErrorHandler; ///< Logs failed background tasks.
+    kj::Own<kj::TaskSet> taskSet; ///< Owns the background tasks.
 };
 
 } // namespace Chestnuthook
--- a/src/entry/program_runtime_call.cpp
+++ b/src/entry/program_runtime_call.cpp
@@ -1,4 +1,5 @@
-/** @file program_runtime_call.cpp  Calls of programs: accepted in order, paid from the budget, ended once. */
+/** @file program_runtime_call.cpp  Calls of programs: accepts them in order, charges their budget, and commits their
+ * results. */
 #include <algorithm>
 #include <utility>
 
@@ -16,17 +17,18 @@
 constexpr unsigned MaxEndAttempts = 50;
 constexpr auto EndRetryDelay = 300 * kj::MILLISECONDS;
 
-/** Engines add marks around each message. */
+/** Engines add special tokens around each message. */
 constexpr std::uint64_t MessageOverheadTokens = 8;
 
-/** A block covers about this many calls, and at most that share of what is left, as a crash loses it. */
+/** A reserved block covers about CallsPerBlock calls and at most 1 / MaxBlockDivisor of the remaining budget, as the
+ * entry loses unused tokens of the block if it crashes. */
 constexpr std::uint64_t CallsPerBlock = 4;
 constexpr std::uint64_t MaxBlockDivisor = 8;
 
-/** Time for the result of an intent to be journaled after its own deadline. */
+/** Time after the deadline of a call in which its result can still be journaled, in milliseconds. */
 constexpr std::int64_t ResultGraceMs = 1000;
 
-/** Tokens of the history: the last model call's, whose prompt held all before it. */
+/** Tokens of the history: those of the largest call, as the prompt of each model call includes all calls before it. */
 std::uint64_t historyTokens(const ProgramRecord &program)
 {
     std::uint64_t tokens = 0;
@@ -44,7 +46,7 @@
 
 Error unknownOutcome(std::int64_t retryAfterMs)
 {
-    return Error{ErrorKind::OutcomeUnknown, "its result may still come", Ran::Unknown, retryAfterMs};
+    return Error{ErrorKind::OutcomeUnknown, "its result may still arrive", Ran::Unknown, retryAfterMs};
 }
 
 } // namespace
@@ -75,7 +77,8 @@
     const auto current = this->running.find(program.id);
     const bool runs = current != this->running.end() && current->second.number == number;
     if ((known != nullptr ? known->digest : current->second.digest) != request.digest) {
-        return fail(ErrorKind::Conflict, "call " + std::to_string(number.value) + " was made with other content");
+        return fail(
+            ErrorKind::Conflict, "call " + std::to_string(number.value) + " was made before with different content");
     }
     CallStart start;
     if (known != nullptr && known->state == CallState::Ended) {
@@ -158,8 +161,8 @@
     const bool intentPending = !program.calls.empty() && program.calls.back().state != CallState::Ended;
     if (number.value != program.calls.size() + 1 || current != this->running.end() || intentPending) {
         return fail(ErrorKind::Conflict,
-            "call " + std::to_string(number.value) + " must wait for the one before it; "
-                + std::to_string(program.calls.size()) + " were made");
+            "call " + std::to_string(number.value) + " must wait for the previous call; "
+                + std::to_string(program.calls.size()) + " calls were made");
     }
     CallStart start;
     Result<void> planned = this->planCall(start, program, request);
@@ -205,7 +208,7 @@
             if (done) {
                 return std::move(start);
             }
-            // The begin may have been committed all the same, but nothing was sent to a service.
+            // The intent may be committed nevertheless, but nothing was sent to a service.
             this->unsentAttempts.insert(start->call.attempt);
             this->pendingUpkeep.insert(program);
             this->running.erase(program);
@@ -270,7 +273,7 @@
         block->second -= std::min(block->second, usedTokens);
     }
     this->running.erase(program);
-    this->pendingUpkeep.insert(program); // An intent without a result is ended after its deadline.
+    this->pendingUpkeep.insert(program); // The upkeep ends an intent without a result after its deadline.
     this->idleSinceMs[program] = wallMsNow();
 }
 
@@ -292,7 +295,7 @@
             const ProgramRecord *record = this->journal.find(program);
             const CallRecord *stored = record == nullptr ? nullptr : record->find(call.number);
             if (stored != nullptr && stored->state == CallState::Ended && stored->digest == call.digest) {
-                return Result<CallRecord>(*stored); // A resend elsewhere ended first.
+                return Result<CallRecord>(*stored); // A retry through another entry ended first.
             }
             Error error = done.error();
             error.ran = call.failure ? call.failure->ran : Ran::Yes;
--- a/src/entry/program_runtime_upkeep.cpp
+++ b/src/entry/program_runtime_upkeep.cpp
@@ -1,5 +1,5 @@
-/** @file program_runtime_upkeep.cpp  What outlives a call: intents whose owner died, caches of ended programs, their
- * sub-agents, and their retention. */
+/** @file program_runtime_upkeep.cpp  Periodic upkeep of programs: ends intents whose owner died, releases the caches of
+ * ended programs, ends their children, and removes them after the retention. */
 #include <utility>
 
 #include "core/hash_func.h"
@@ -14,12 +14,12 @@
 
 constexpr Duration UpkeepInterval = std::chrono::milliseconds(250);
 
-/** After the last attempt of a program, an engine may take this long to see that it was cancelled. */
+/** Delay before caches are released: an engine may take this long to notice that the last attempt was cancelled. */
 constexpr std::int64_t IdleBeforeReleaseMs = 300;
 
 constexpr std::size_t BlockIdBytes = 12;
 
-/** Takes the answer to an end that is forwarded. */
+/** Receives the status of a forwarded request and ignores the body. */
 class StatusSink final : public Wire::AnswerSink::Server
 {
 public:
@@ -42,7 +42,7 @@
     }
 
 private:
-    std::shared_ptr<int> status; ///< Of the answer.
+    std::shared_ptr<int> status; ///< Status of the response.
 };
 
 } // namespace
@@ -203,7 +203,7 @@
                 if (*status == Ok || *status == NotFound) {
                     return {};
                 }
-                return fail(ErrorKind::NotReady, "the child's owner answered " + std::to_string(*status));
+                return fail(ErrorKind::NotReady, "the child's owner responded with status " + std::to_string(*status));
             },
             [this, address = owner->rpcAddress](kj::Exception &&exception) -> Result<void> {
                 this->peers.reset(address);
--- a/src/entry/program_service_base.cpp
+++ b/src/entry/program_service_base.cpp
@@ -1,4 +1,4 @@
-/** @file program_service_base.cpp  Checks and routes of requests about programs. */
+/** @file program_service_base.cpp  Validates and routes requests for programs and services. */
 #include "entry/program_service_base.h"
 
 #include <algorithm>
@@ -29,7 +29,7 @@
 constexpr std::size_t MaxKeyBytes = 256;
 constexpr std::int64_t MaxBudgetValue = 1'000'000'000'000;
 
-/** How long a request is held while its slot moves, and when to come back after that. */
+/** How long a request is held and retried while its slot is moving, and the Retry-After if that does not suffice. */
 constexpr Duration MaxHoldTime = std::chrono::milliseconds(4500);
 constexpr auto HoldRetryInterval = std::chrono::milliseconds(50);
 constexpr std::int64_t HoldRetryAfterMs = 1000;
@@ -39,7 +39,7 @@
     std::uint32_t number = 0;
     const auto parsed = std::from_chars(text.data(), text.data() + text.size(), number);
     if (parsed.ec != std::errc{} || parsed.ptr != text.data() + text.size() || number == 0) {
-        return fail(ErrorKind::BadRequest, "the call number must be a whole number from 1");
+        return fail(ErrorKind::BadRequest, "the call number must be an integer of at least 1");
     }
     return CallNumber{number};
 }
@@ -52,7 +52,7 @@
     }
     const bool whole = value.isInteger() && !value.isBoolean();
     if (!whole || value.convert<std::int64_t>() < 1 || value.convert<std::int64_t>() > MaxBudgetValue) {
-        return fail(ErrorKind::BadRequest, "field budget." + name + " must be a whole number from 1");
+        return fail(ErrorKind::BadRequest, "field budget." + name + " must be an integer of at least 1");
     }
     return value.convert<std::uint64_t>();
 }
@@ -89,15 +89,16 @@
     }
 }
 
-/** Whether a request that failed with @p error may succeed when it is given to the slot's owner again, which knows a
- * call that has begun by its number and content. Cancelled: it had joined a call that its last reader was leaving. */
+/** Whether a request that failed with @p error may succeed when it is sent to the owner of the slot again. That is
+ * safe, as the owner recognises a call that was started by its number and content. Cancelled is included, as the
+ * request may have joined a call just when its last reader left. */
 bool mayRetryAtOwner(const Error &error)
 {
     return error.kind == ErrorKind::NotReady || error.kind == ErrorKind::StaleEpoch || error.kind == ErrorKind::NoQuorum
         || error.kind == ErrorKind::NotLeader || error.kind == ErrorKind::Cancelled;
 }
 
-/** What is true of a request that was tried twice. */
+/** Combines whether each of two attempts at a request ran. */
 Ran combineRan(Ran earlier, Ran later)
 {
     const bool yes = earlier == Ran::Yes || later == Ran::Yes;
@@ -153,7 +154,7 @@
     const std::vector<std::string> &path = this->request.path;
     const std::string &method = this->request.method;
     if (this->request.idempotencyKey.size() > MaxKeyBytes) {
-        return fail(ErrorKind::BadRequest, "header Idempotency-Key has at most 256 bytes");
+        return fail(ErrorKind::BadRequest, "header Idempotency-Key must not exceed 256 bytes");
     }
     const bool programs = path.size() >= 2 && path[1] == "programs";
     if (programs && path.size() == 2 && method == "POST") {
@@ -247,7 +248,7 @@
     if (!this->program.empty()) {
         owner = view->slots.at(slotOf(this->program.text).value).owner;
     } else if (this->context.draining && this->statelessTimeoutMs == 0) {
-        // A new program needs an entry that will stay.
+        // While draining, create new programs at a live entry.
         for (const EntryRecord &entry : view->entries) {
             owner = entry.state == EntryState::Live ? entry.id : owner;
         }
@@ -269,7 +270,7 @@
 {
     const Instant begin = this->context.loop.timers().now();
     const Instant deadline = begin + MaxHoldTime;
-    // A former owner may not know yet that a program has moved on elsewhere.
+    // A former owner may not know yet that the program has moved and has changed elsewhere.
     const auto mayBeStale = [&](const Error &error) {
         const bool dependsOnOwner = error.kind == ErrorKind::NotFound || error.kind == ErrorKind::Conflict;
         return dependsOnOwner && error.ran == Ran::No && !this->context.follower.views.wasReadAfter(begin);
@@ -288,7 +289,7 @@
     Error error = served.error();
     error.ran = combineRan(ran, error.ran);
     if (error.kind == ErrorKind::StaleEpoch) {
-        error.kind = ErrorKind::NotReady; // Epochs are not the caller's: the slot is still moving.
+        error.kind = ErrorKind::NotReady; // Clients don't know epochs; for them the slot is still moving.
     }
     if (mayRetryAtOwner(error) && error.retryAfterMs == 0) {
         error.retryAfterMs = HoldRetryAfterMs;
--- a/src/entry/program_service_base.h
+++ b/src/entry/program_service_base.h
@@ -1,5 +1,5 @@
-/** @file program_service_base.h  Serves requests about programs and plain services: checks them, finds the owner of the
- * program's slot, forwards once where that is another entry, and holds requests while a slot is moving. */
+/** @file program_service_base.h  Serves requests for programs and services: validates them, finds the owner of the
+ * program's slot, forwards them at most once if that is another entry, and holds them while a slot is moving. */
 #pragma once
 
 #include <string>
@@ -13,20 +13,21 @@
 namespace Chestnuthook
 {
 
-/** A request whose key was checked. */
+/** An authenticated request of a client. */
 struct ClientRequest
 {
     std::string method; ///< HTTP method.
     std::string uri; ///< Path and query.
     std::vector<std::string> path; ///< Segments of the path, decoded.
-    std::string contentType; ///< Of the body.
-    std::string idempotencyKey; ///< Of the caller; empty for none.
-    std::string program; ///< Header X-Program-Id.
-    std::string body; ///< Within its bound.
-    ClientIdentity client; ///< Whom it runs for.
-    bool forwarded = false; ///< Came from another entry; it is not forwarded again.
+    std::string contentType; ///< Content type of the body.
+    std::string idempotencyKey; ///< Header Idempotency-Key; empty for none.
+    std::string program; ///< Header X-Program-Id; empty for none.
+    std::string body; ///< Body, within the size limit.
+    ClientIdentity client; ///< Client that sent it.
+    bool forwarded = false; ///< Forwarded by another entry; must not be forwarded again.
 };
 
+/** Converts a request for forwarding to another entry. */
 void writeRequest(Wire::ForwardedRequest::Builder builder, const ClientRequest &request);
 [[nodiscard]] ClientRequest readRequest(Wire::ForwardedRequest::Reader reader);
 
@@ -36,13 +37,13 @@
 public:
     ProgramService(EntryContext &context, ResponseWriter &writer, const ClientRequest &request);
 
-    /** Checks the request field by field; nothing is run. Errors: BadRequest, NotFound. */
+    /** Validates the request without running it. Errors: BadRequest, NotFound. */
     Result<void> check();
 
-    /** Answers the request; after `check`. */
+    /** Serves the request; to be called after `check`. */
     void serve();
 
-    /** Whether the program's slot belongs to this entry; for forwarded requests. */
+    /** Whether the request is to be served by this entry rather than forwarded. */
     [[nodiscard]] bool isLocal() const;
 
 private:
@@ -60,15 +61,16 @@
     Result<void> forward(const std::string &address);
     Result<ProgramId> createForSingleCall();
 
-    EntryContext &context; ///< Of the entry.
-    ResponseWriter &writer; ///< To the caller.
+    EntryContext &context; ///< Shared state of the entry.
+    ResponseWriter &writer; ///< Response to the client.
     const ClientRequest &request; ///< Outlives this.
-    Route route = Route::Show; ///< Set by check.
-    ProgramId program; ///< Whose slot decides where the request runs; empty where any entry will do.
-    ProgramParameters parameters; ///< Of a creation.
-    CallRequest call; ///< Of a call.
-    CallNumber number; ///< Of a call.
-    std::int64_t statelessTimeoutMs = 0; ///< Set for an idempotent service request without a key.
+    Route route = Route::Show; ///< Route, set by `check`.
+    ProgramId program; ///< Program whose slot determines the entry that serves the request; empty if any entry may.
+    ProgramParameters parameters; ///< Parameters of a program to create.
+    CallRequest call; ///< Content of a call.
+    CallNumber number; ///< Number of a call.
+    std::int64_t statelessTimeoutMs =
+        0; ///< Timeout of an idempotent service request without Idempotency-Key, which needs no program; else 0.
 };
 
 } // namespace Chestnuthook
--- a/src/entry/request_forwarder_base.cpp
+++ b/src/entry/request_forwarder_base.cpp
@@ -1,4 +1,4 @@
-/** @file request_forwarder_base.cpp  The forwarding entry's side. */
+/** @file request_forwarder_base.cpp  Forwards requests and relays the responses. */
 #include "entry/request_forwarder_base.h"
 
 #include <algorithm>
@@ -21,31 +21,31 @@
 
 } // namespace
 
-/** Between the control thread, which receives the answer, and the traffic thread, which writes it. */
-struct RequestForwarder::ResponseChannel
+/** Passes the response from the control thread, which receives it, to the traffic thread, which writes it. */
+struct RequestForwarder::Pipe
 {
-    /** A piece of the answer. */
-    struct Chunk
+    /** A piece of the response. */
+    struct Piece
     {
         std::optional<int> status; ///< Set in the first piece.
-        std::vector<HttpHeader> headers; ///< Of the first piece.
+        std::vector<HttpHeader> headers; ///< Set in the first piece.
         std::string bytes; ///< Of the body.
     };
 
-    std::mutex mutex; ///< Guards all but `call`.
-    std::condition_variable changed; ///< A piece or the end came.
-    std::deque<Chunk> chunks; ///< Not yet written.
-    bool ended = false; ///< The answer is whole.
-    bool failed = false; ///< The other entry is lost.
+    std::mutex mutex; ///< Guards all members except those for the control thread.
+    std::condition_variable changed; ///< Notified when a piece arrives or the response ends.
+    std::deque<Piece> pieces; ///< Not yet written.
+    bool ended = false; ///< The response is complete.
+    bool failed = false; ///< The connection to the other entry failed.
     bool sent = false; ///< The request may have reached the other entry; for the control thread.
     std::string what; ///< Why it failed.
-    kj::Maybe<kj::Promise<void>> call; ///< The call under way; for the control thread.
+    kj::Maybe<kj::Promise<void>> call; ///< The RPC in progress; for the control thread.
 
-    void push(Chunk chunk)
+    void push(Piece piece)
     {
         {
             const std::lock_guard lock(this->mutex);
-            this->chunks.push_back(std::move(chunk));
+            this->pieces.push_back(std::move(piece));
         }
         this->changed.notify_all();
     }
@@ -61,37 +61,37 @@
     }
 };
 
-/** Receives the answer on the control thread. */
+/** Receives the response on the control thread. */
 class RequestForwarder::Sink final : public Wire::AnswerSink::Server
 {
 public:
-    explicit Sink(std::shared_ptr<ResponseChannel> channel)
-        : channel(std::move(channel))
+    explicit Sink(std::shared_ptr<Pipe> pipe)
+        : pipe(std::move(pipe))
     {
     }
     kj::Promise<void> start(StartContext context) override
     {
-        ResponseChannel::Chunk chunk;
-        chunk.status = context.getParams().getStatus();
+        Pipe::Piece piece;
+        piece.status = context.getParams().getStatus();
         for (const auto header : context.getParams().getHeaders()) {
-            chunk.headers.push_back(HttpHeader{textOf(header.getName()), textOf(header.getValue())});
+            piece.headers.push_back(HttpHeader{textOf(header.getName()), textOf(header.getValue())});
         }
-        this->channel->push(std::move(chunk));
+        this->pipe->push(std::move(piece));
         return kj::READY_NOW;
     }
     kj::Promise<void> write(WriteContext context) override
     {
-        this->channel->push(ResponseChannel::Chunk{{}, {}, bytesOf(context.getParams().getBytes())});
+        this->pipe->push(Pipe::Piece{{}, {}, bytesOf(context.getParams().getBytes())});
         return kj::READY_NOW;
     }
     kj::Promise<void> end(EndContext /*context*/) override
     {
-        this->channel->finish(true, "");
+        this->pipe->finish(true, "");
         return kj::READY_NOW;
     }
 
 private:
-    std::shared_ptr<ResponseChannel> channel; ///< To the traffic thread.
+    std::shared_ptr<Pipe> pipe; ///< To the traffic thread.
 };
 
 RequestForwarder::RequestForwarder(EntryContext &context, ResponseWriter &writer)
@@ -102,81 +102,82 @@
 
 Result<void> RequestForwarder::run(const std::string &address, const ClientRequest &request)
 {
-    auto channel = std::make_shared<ResponseChannel>();
+    auto pipe = std::make_shared<Pipe>();
     this->context.loop.call([&]() {
-        channel->call = this->context.peers.peer(address)
-                            .then([request, channel](Wire::EntryPeer::Client &&peer) {
-                                channel->sent = true;
-                                auto call = peer.forwardRequest();
-                                writeRequest(call.initRequest(), request);
-                                call.setSink(kj::heap<Sink>(channel));
-                                return call.send().ignoreResult();
-                            })
-                            .then(
-                                [channel = channel.get()]() {
-                                    channel->finish(false, "the answer ended early");
-                                },
-                                [this, channel = channel.get(), address](kj::Exception &&exception) {
-                                    if (exception.getType() == kj::Exception::Type::DISCONNECTED) {
-                                        this->context.peers.reset(address);
-                                    }
-                                    channel->finish(false, exception.getDescription().cStr());
-                                })
-                            .eagerlyEvaluate(nullptr);
+        pipe->call = this->context.peers.peer(address)
+                         .then([request, pipe](Wire::EntryPeer::Client &&peer) {
+                             pipe->sent = true;
+                             auto call = peer.forwardRequest();
+                             writeRequest(call.initRequest(), request);
+                             call.setSink(kj::heap<Sink>(pipe));
+                             return call.send().ignoreResult();
+                         })
+                         .then(
+                             [pipe = pipe.get()]() {
+                                 pipe->finish(false, "the response ended early");
+                             },
+                             [this, pipe = pipe.get(), address](kj::Exception &&exception) {
+                                 if (exception.getType() == kj::Exception::Type::DISCONNECTED) {
+                                     this->context.peers.reset(address);
+                                 }
+                                 pipe->finish(false, exception.getDescription().cStr());
+                             })
+                         .eagerlyEvaluate(nullptr);
     });
     KJ_DEFER(this->context.loop.call([&]() {
-        channel->call = nullptr; // Cancels it where the caller has gone; the owner then stops reading.
+        pipe->call = nullptr; // Cancels the RPC if the client has gone; the owner is notified and stops.
     }););
-    ResponseChannel::Chunk head;
+    Pipe::Piece head;
     bool streamed = false;
     bool open = true;
     while (open) {
-        std::deque<ResponseChannel::Chunk> chunks;
+        std::deque<Pipe::Piece> pieces;
         {
-            std::unique_lock lock(channel->mutex);
-            channel->changed.wait_for(lock, AbandonCheckInterval, [&]() {
-                return !channel->chunks.empty() || channel->ended || channel->failed;
+            std::unique_lock lock(pipe->mutex);
+            pipe->changed.wait_for(lock, AbandonCheckInterval, [&]() {
+                return !pipe->pieces.empty() || pipe->ended || pipe->failed;
             });
-            chunks.swap(channel->chunks);
-            open = !channel->ended && !channel->failed;
+            pieces.swap(pipe->pieces);
+            open = !pipe->ended && !pipe->failed;
         }
-        for (const ResponseChannel::Chunk &chunk : chunks) {
-            if (chunk.status) {
-                head = chunk;
-                streamed = std::any_of(chunk.headers.begin(), chunk.headers.end(), [](const HttpHeader &header) {
+        for (const Pipe::Piece &piece : pieces) {
+            if (piece.status) {
+                head = piece;
+                streamed = std::any_of(piece.headers.begin(), piece.headers.end(), [](const HttpHeader &header) {
                     return header.value == "text/event-stream";
                 });
                 if (streamed) {
-                    this->writer.start(*chunk.status, chunk.headers, -1);
+                    this->writer.start(*piece.status, piece.headers, -1);
                 }
             } else if (streamed) {
-                this->writer.write(chunk.bytes);
+                this->writer.write(piece.bytes);
             } else {
-                head.bytes += chunk.bytes; // Given to the caller only when it is whole.
+                head.bytes += piece.bytes; // Sent to the client only once it is complete.
             }
         }
         if (open && !this->hasLease(address)) {
-            channel->finish(false, "its lease has ended");
+            pipe->finish(false, "its lease has expired");
         }
         open = open && !this->writer.isAbandoned();
     }
-    if (channel->failed && this->writer.isStarted()) {
-        const Error lost{ErrorKind::NotReady, "the entry that ran the call was lost; send again", Ran::Unknown, 0};
+    if (pipe->failed && this->writer.isStarted()) {
+        const Error lost{
+            ErrorKind::NotReady, "the entry that ran the call was lost; send the request again", Ran::Unknown, 0};
         this->writer.write("event: error\ndata: " + errorJson(lost) + "\n\n");
     }
-    if (channel->ended && !streamed && head.status) {
+    if (pipe->ended && !streamed && head.status) {
         this->writer.start(*head.status, head.headers, static_cast<std::int64_t>(head.bytes.size()));
         this->writer.write(head.bytes);
     }
-    if (channel->ended || this->writer.isStarted()) {
+    if (pipe->ended || this->writer.isStarted()) {
         this->writer.end();
         return {};
     }
     const bool sent = this->context.loop.call([&]() {
-        return channel->sent;
+        return pipe->sent;
     });
-    return fail(
-        ErrorKind::NotReady, "the program's entry did not answer: " + channel->what, sent ? Ran::Unknown : Ran::No);
+    return fail(ErrorKind::NotReady, "the entry that owns the program did not respond: " + pipe->what,
+        sent ? Ran::Unknown : Ran::No);
 }
 
 bool RequestForwarder::hasLease(const std::string &address) const
--- a/src/entry/request_forwarder_base.h
+++ b/src/entry/request_forwarder_base.h
@@ -1,4 +1,4 @@
-/** @file request_forwarder_base.h  Forwards a request to the entry that owns its program and passes the answer on. */
+/** @file request_forwarder_base.h  Forwards a request to the entry that owns its program and relays the response. */
 #pragma once
 
 #include <memory>
@@ -18,18 +18,18 @@
     RequestForwarder(EntryContext &context, ResponseWriter &writer);
 
     /** Errors: NotReady where the other entry did not answer; `ran` is unknown once the request was sent. The request
-     * is safe to forward again: a call that it began is known by its number and content. */
+     * is safe to forward again: the owner recognises a call that it has started by its number and content. */
     Result<void> run(const std::string &address, const ClientRequest &request);
 
 private:
-    struct ResponseChannel;
+    struct Pipe;
     class Sink;
 
-    /** Whether the entry at @p address still has its lease; one that is only paused never answers. */
+    /** Whether the entry at @p address still holds its lease. A paused entry stays connected but never responds. */
     [[nodiscard]] bool hasLease(const std::string &address) const;
 
     EntryContext &context; ///< Of the entry.
-    ResponseWriter &writer; ///< To the caller.
+    ResponseWriter &writer; ///< Response to the client.
 };
 
 } // namespace Chestnuthook
--- a/tests/process/chat_test.cpp
+++ b/tests/process/chat_test.cpp
@@ -1,4 +1,4 @@
-/** @file chat_test.cpp  An ordinary chat-completions client works with only its base URL and key changed. */
+/** @file chat_test.cpp  A standard chat completions client needs only another base URL and API key. */
 #define BOOST_TEST_MODULE chat
 #include <boost/test/unit_test.hpp>
 
@@ -14,7 +14,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(a_chat_is_a_program_of_one_call_that_leaves_no_cache)
+BOOST_AUTO_TEST_CASE(chat_completion_leaves_no_cache)
 {
     ProcessFleet fleet;
     const HttpAnswer whole = fleet.ask(0, "POST", "/v1/chat/completions", Question);
@@ -41,7 +41,7 @@
         == 404);
 }
 
-BOOST_AUTO_TEST_CASE(a_chat_with_a_program_header_goes_on_with_that_program)
+BOOST_AUTO_TEST_CASE(chat_completion_continues_a_program)
 {
     ProcessFleet fleet({.entries = 2});
     const std::string id = fleet.createProgram(0);
@@ -56,6 +56,6 @@
     BOOST_TEST(second.status == 200, second.body);
     const std::string shown = fleet.ask(0, "GET", "/v1/programs/" + id).body;
     BOOST_TEST(shown.find("\"number\":2") != std::string::npos);
-    // The second call holds only what is new.
+    // The second call must contain only the new message.
     BOOST_TEST(shown.find("one", shown.find("\"number\":2")) == std::string::npos, shown);
 }
--- a/tests/process/drain_test.cpp
+++ b/tests/process/drain_test.cpp
@@ -1,4 +1,4 @@
-/** @file drain_test.cpp  A planned stop under load cuts no request, and an endpoint that leaves gets nothing new. */
+/** @file drain_test.cpp  A graceful shutdown of an entry under load must not interrupt requests. */
 #define BOOST_TEST_MODULE drain
 #include <boost/test/unit_test.hpp>
 
@@ -12,7 +12,7 @@
 
 using namespace Chestnuthook::Testing;
 
-BOOST_AUTO_TEST_CASE(a_planned_stop_under_two_hundred_streams_cuts_none)
+BOOST_AUTO_TEST_CASE(graceful_shutdown_completes_open_streams)
 {
     constexpr int Streams = 200;
     ProcessFleet fleet({.entries = 3, .engines = 4, .engineFlags = {"--token_ms=150", "--batch=64"}});
@@ -25,15 +25,15 @@
         program = "/v1/programs/" + fleet.createProgram(0);
     }
     std::vector<HttpAnswer> answers(Streams);
-    std::vector<std::thread> callers;
-    callers.reserve(Streams);
+    std::vector<std::thread> clients;
+    clients.reserve(Streams);
     for (int i = 0; i < Streams; ++i) {
-        callers.emplace_back([&, i]() {
+        clients.emplace_back([&, i]() {
             const std::string body = modelCall(fleet.model, "stream " + std::to_string(i), 30, true);
             answers[i] = fleet.ask(0, "POST", programs[i] + "/calls/1", body);
         });
     }
-    const auto underWay = [&]() {
+    const auto startedRequests = [&]() {
         std::size_t count = 0;
         for (const std::string &engine : fleet.engineAddresses) {
             count += ledgerOf(engine).size();
@@ -41,7 +41,7 @@
         return count;
     };
     BOOST_TEST(waitUntil([&]() {
-        return underWay() >= Streams / 2;
+        return startedRequests() >= Streams / 2;
     }));
     ChildProcess &entry = *fleet.processes.at("entry-0");
     entry.signal(SIGTERM);
@@ -49,11 +49,11 @@
         return http(fleet.entryAddresses[1], "GET", "/v1/entries").body.find(fleet.entryAddresses[0])
             == std::string::npos;
     }));
-    const HttpAnswer during = fleet.ask(0, "POST", "/v1/programs", "{}");
-    BOOST_TEST(during.status == 201, during.body);
-    BOOST_TEST(during.headers.at("Connection") == "Close");
-    for (std::thread &caller : callers) {
-        caller.join();
+    const HttpAnswer duringDrain = fleet.ask(0, "POST", "/v1/programs", "{}");
+    BOOST_TEST(duringDrain.status == 201, duringDrain.body);
+    BOOST_TEST(duringDrain.headers.at("Connection") == "Close");
+    for (std::thread &client : clients) {
+        client.join();
     }
     BOOST_TEST(entry.wait(std::chrono::seconds(60)) == 0);
     int cut = 0;
@@ -68,18 +68,18 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(calls_go_on_while_entries_are_stopped_one_after_the_other)
+BOOST_AUTO_TEST_CASE(calls_succeed_during_rolling_restart)
 {
-    constexpr int Callers = 12;
+    constexpr int Clients = 12;
     ProcessFleet fleet({.entries = 3});
     liftRates(fleet);
     std::atomic<bool> done = false;
     std::mutex mutex;
     std::vector<std::string> failures;
-    std::vector<std::thread> callers;
-    callers.reserve(Callers);
-    for (int i = 0; i < Callers; ++i) {
-        callers.emplace_back([&]() {
+    std::vector<std::thread> clients;
+    clients.reserve(Clients);
+    for (int i = 0; i < Clients; ++i) {
+        clients.emplace_back([&]() {
             const std::string program = "/v1/programs/" + fleet.createProgram(2, R"({"budget":{"calls":1000}})");
             for (int number = 1; !done; ++number) {
                 const bool order = number % 2 == 0;
@@ -101,8 +101,8 @@
         fleet.startEntry(entry);
     }
     done = true;
-    for (std::thread &caller : callers) {
-        caller.join();
+    for (std::thread &client : clients) {
+        client.join();
     }
     for (const std::string &failure : failures) {
         BOOST_ERROR(failure);
--- a/tests/process/program_test.cpp
+++ b/tests/process/program_test.cpp
@@ -1,5 +1,5 @@
-/** @file program_test.cpp  Programs over real processes: order, resends through other entries, joining a running call,
- * whole answers over broken, crossed and hanging endpoints, budgets, sub-agents and the release of caches. */
+/** @file program_test.cpp  Programs on real processes: order of calls, retries through other entries, joining a
+ * running call, complete responses despite failing endpoints, budgets, child programs, and the release of caches. */
 #define BOOST_TEST_MODULE program
 #include <boost/test/unit_test.hpp>
 
@@ -19,7 +19,7 @@
     return text.find(part) != std::string::npos;
 }
 
-/** Programs whose cache the engine holds; the load report lags. */
+/** Whether the engine reports that it holds the cache of the program; its load report may lag. */
 bool holdsCache(const std::string &engine, const std::string &program)
 {
     return contains(http(engine, "GET", "/v1/load").body, program);
@@ -27,7 +27,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(a_program_is_served_through_every_entry)
+BOOST_AUTO_TEST_CASE(any_entry_serves_a_program)
 {
     ProcessFleet fleet({.entries = 3});
     const std::string program = "/v1/programs/" + fleet.createProgram(0);
@@ -44,7 +44,7 @@
         BOOST_TEST(other.status == 409);
         BOOST_TEST(errorField(other.body, "ran") == "no");
     }
-    BOOST_TEST(seenWith(fleet.serviceAddresses, "order=1") == 1);
+    BOOST_TEST(countRequestsWithQuery(fleet.serviceAddresses, "order=1") == 1);
     const std::string otherKey = fleet.issueKey("korthusid");
     BOOST_TEST(waitUntil([&]() {
         return httpAs(otherKey, fleet.entryAddresses[1], "GET", program).status == 403;
@@ -54,7 +54,7 @@
     BOOST_TEST(directory.body.find(fleet.entryAddresses[0]) == directory.body.find("127.0.0.1"));
 }
 
-BOOST_AUTO_TEST_CASE(a_resend_joins_the_running_call)
+BOOST_AUTO_TEST_CASE(retry_joins_the_running_call)
 {
     ProcessFleet fleet({.entries = 2, .engineFlags = {"--token_ms=60"}});
     const std::string call = "/v1/programs/" + fleet.createProgram(0) + "/calls/1";
@@ -76,7 +76,7 @@
     BOOST_TEST(ledgerOf(fleet.engineAddresses[0]).size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(answers_are_whole_though_endpoints_fail)
+BOOST_AUTO_TEST_CASE(responses_are_complete_despite_endpoint_faults)
 {
     ProcessFleet fleet({.engines = 2, .services = 2});
     const std::string text = "the same words for every attempt";
@@ -84,7 +84,7 @@
         fleet.ask(0, "POST", "/v1/programs/" + fleet.createProgram(0) + "/calls/1", modelCall(fleet.model, text, 20));
     for (const std::string fault : {"truncate", "crossed", "refuse", "late"}) {
         for (const std::string &engine : fleet.engineAddresses) {
-            orderFault(engine, R"({"kind":")" + fault + R"(","match":"the same words","count":1,"delay_ms":300})");
+            injectFault(engine, R"({"kind":")" + fault + R"(","match":"the same words","count":1,"delay_ms":300})");
         }
         const std::string call = "/v1/programs/" + fleet.createProgram(0) + "/calls/1";
         const HttpAnswer streamed = fleet.ask(0, "POST", call, modelCall(fleet.model, text, 20, true));
@@ -96,21 +96,21 @@
     }
     for (const std::string fault : {"truncate", "crossed"}) {
         for (const std::string &service : fleet.serviceAddresses) {
-            orderFault(service, R"({"kind":")" + fault + R"(","count":1})");
+            injectFault(service, R"({"kind":")" + fault + R"(","count":1})");
         }
         const std::string call = "/v1/programs/" + fleet.createProgram(0) + "/calls/1";
         const HttpAnswer once = fleet.ask(0, "POST", call, orderCall(fleet.service, "order=" + fault));
         BOOST_TEST(errorField(once.body, "code") == "outcome_unknown", fault << ": " << once.body);
         BOOST_TEST(errorField(once.body, "ran") == "unknown");
         BOOST_TEST(fleet.ask(0, "POST", call, orderCall(fleet.service, "order=" + fault)).body == once.body);
-        BOOST_TEST(seenWith(fleet.serviceAddresses, "order=" + fault) == 1);
+        BOOST_TEST(countRequestsWithQuery(fleet.serviceAddresses, "order=" + fault) == 1);
         for (const std::string &service : fleet.serviceAddresses) {
             http(service, "DELETE", "/fake/fault");
         }
     }
 }
 
-BOOST_AUTO_TEST_CASE(a_refusal_that_says_not_run_is_true_and_the_call_may_be_sent_again)
+BOOST_AUTO_TEST_CASE(call_rejected_as_not_run_can_be_retried)
 {
     ProcessFleet fleet;
     const std::string program = "/v1/programs/" + fleet.createProgram(0);
@@ -123,22 +123,22 @@
     BOOST_TEST(waitUntil([&]() {
         return fleet.ask(0, "POST", program + "/calls/1", orderCall(fleet.service, "order=1")).status == 200;
     }));
-    BOOST_TEST(seenWith(fleet.serviceAddresses, "order=1") == 1);
+    BOOST_TEST(countRequestsWithQuery(fleet.serviceAddresses, "order=1") == 1);
 }
 
-BOOST_AUTO_TEST_CASE(a_hanging_tool_costs_its_deadline_and_is_told_truthfully)
+BOOST_AUTO_TEST_CASE(hanging_tool_call_ends_as_outcome_unknown)
 {
     ProcessFleet fleet;
-    orderFault(fleet.serviceAddresses[0], R"({"kind":"hang","count":1})");
+    injectFault(fleet.serviceAddresses[0], R"({"kind":"hang","count":1})");
     const std::string call = "/v1/programs/" + fleet.createProgram(0, R"({"budget":{"seconds":2}})") + "/calls/1";
     const HttpAnswer hung = fleet.ask(0, "POST", call, orderCall(fleet.service, "order=1"));
     BOOST_TEST(errorField(hung.body, "code") == "outcome_unknown", hung.body);
     BOOST_TEST(errorField(hung.body, "ran") == "unknown");
     BOOST_TEST(fleet.ask(0, "POST", call, orderCall(fleet.service, "order=1")).body == hung.body);
-    BOOST_TEST(seenWith(fleet.serviceAddresses, "order=1") == 1);
+    BOOST_TEST(countRequestsWithQuery(fleet.serviceAddresses, "order=1") == 1);
 }
 
-BOOST_AUTO_TEST_CASE(a_caller_that_goes_away_cancels_the_engine_but_not_an_order)
+BOOST_AUTO_TEST_CASE(client_disconnect_cancels_only_idempotent_calls)
 {
     ProcessFleet fleet({.engineFlags = {"--token_ms=300"}});
     const std::string call = "/v1/programs/" + fleet.createProgram(0) + "/calls/1";
@@ -157,10 +157,10 @@
     BOOST_TEST(waitUntil([&]() {
         return fleet.ask(0, "POST", order, orderCall(fleet.service, "order=1&delay_ms=800")).status == 200;
     }));
-    BOOST_TEST(seenWith(fleet.serviceAddresses, "order=1") == 1);
+    BOOST_TEST(countRequestsWithQuery(fleet.serviceAddresses, "order=1") == 1);
 }
 
-BOOST_AUTO_TEST_CASE(a_looping_program_meets_its_budget_to_the_unit)
+BOOST_AUTO_TEST_CASE(budget_is_enforced_exactly)
 {
     ProcessFleet fleet;
     const std::string counted = "/v1/programs/" + fleet.createProgram(0, R"({"budget":{"calls":3}})") + "/calls/";
@@ -169,7 +169,7 @@
             fleet.ask(0, "POST", counted + std::to_string(number), orderCall(fleet.service, "order=loop"));
         BOOST_TEST(answer.status == (number <= 3 ? 200 : 402), answer.body);
     }
-    BOOST_TEST(seenWith(fleet.serviceAddresses, "order=loop") == 3);
+    BOOST_TEST(countRequestsWithQuery(fleet.serviceAddresses, "order=loop") == 3);
     constexpr std::uint64_t Tokens = 120;
     const std::string program = "/v1/programs/" + fleet.createProgram(0, R"({"budget":{"tokens":120}})");
     HttpAnswer last;
@@ -189,14 +189,14 @@
     BOOST_TEST(used <= Tokens);
 }
 
-BOOST_AUTO_TEST_CASE(sub_agents_share_the_budget_and_end_with_their_parent)
+BOOST_AUTO_TEST_CASE(children_share_budget_and_end_with_parent)
 {
     ProcessFleet fleet({.entries = 3});
     const std::string parent = fleet.createProgram(0, R"({"budget":{"calls":10}})");
-    const std::string wish = R"({"budget":{"calls":4},"parent":")" + parent + "\"}";
-    const std::string child = fleet.createProgram(1, wish);
-    const std::string second = fleet.createProgram(2, wish);
-    BOOST_TEST(fleet.ask(1, "POST", "/v1/programs", wish).status == 402);
+    const std::string childRequest = R"({"budget":{"calls":4},"parent":")" + parent + "\"}";
+    const std::string child = fleet.createProgram(1, childRequest);
+    const std::string second = fleet.createProgram(2, childRequest);
+    BOOST_TEST(fleet.ask(1, "POST", "/v1/programs", childRequest).status == 402);
     BOOST_TEST(contains(fleet.ask(2, "GET", "/v1/programs/" + parent).body, "\"budget_left\":{\"calls\":2"));
     std::string deepest = child;
     int depth = 1;
@@ -223,15 +223,15 @@
     }));
 }
 
-BOOST_AUTO_TEST_CASE(ending_a_program_during_its_call_leaves_no_stream_and_no_cache)
+BOOST_AUTO_TEST_CASE(ending_a_program_cancels_its_call_and_releases_cache)
 {
     ProcessFleet fleet({.entries = 2, .engines = 2, .engineFlags = {"--token_ms=200"}});
     const std::string id = fleet.createProgram(0);
     const std::string program = "/v1/programs/" + id;
     BOOST_TEST(fleet.ask(0, "POST", program + "/calls/1", modelCall(fleet.model, "first", 2)).status == 200);
-    HttpAnswer cut;
+    HttpAnswer interrupted;
     std::thread caller([&]() {
-        cut = fleet.ask(1, "POST", program + "/calls/2", modelCall(fleet.model, "second", 30, true));
+        interrupted = fleet.ask(1, "POST", program + "/calls/2", modelCall(fleet.model, "second", 30, true));
     });
     BOOST_TEST(waitUntil([&]() {
         const std::size_t seen = ledgerOf(fleet.engineAddresses[0]).size() + ledgerOf(fleet.engineAddresses[1]).size();
@@ -242,8 +242,9 @@
     }));
     BOOST_TEST(fleet.ask(1, "DELETE", program).status == 200);
     caller.join();
-    BOOST_TEST((contains(cut.body, "cancelled") || contains(cut.body, "program_ended")), cut.body);
-    BOOST_TEST(contains(cut.body, "\"ran\":\"yes\""), cut.body);
+    BOOST_TEST(
+        (contains(interrupted.body, "cancelled") || contains(interrupted.body, "program_ended")), interrupted.body);
+    BOOST_TEST(contains(interrupted.body, "\"ran\":\"yes\""), interrupted.body);
     for (const std::string &engine : fleet.engineAddresses) {
         BOOST_TEST(waitUntil([&]() {
             const auto rows = ledgerOf(engine);
@@ -255,7 +256,7 @@
     BOOST_TEST(fleet.ask(0, "POST", program + "/calls/3", modelCall(fleet.model, "third")).status == 409);
 }
 
-BOOST_AUTO_TEST_CASE(an_idempotency_key_makes_creation_and_plain_services_safe_to_resend)
+BOOST_AUTO_TEST_CASE(idempotency_key_makes_retries_safe)
 {
     ProcessFleet fleet({.entries = 2});
     const Headers key = {{"Idempotency-Key", "k-1"}};
@@ -268,18 +269,18 @@
     BOOST_TEST(order.status == 200, order.body);
     BOOST_TEST(fleet.ask(1, "POST", route, R"({"cards":1})", {{"Idempotency-Key", "k-2"}}).body == order.body);
     BOOST_TEST(fleet.ask(1, "POST", route, R"({"cards":2})", {{"Idempotency-Key", "k-2"}}).status == 409);
-    BOOST_TEST(seenWith(fleet.serviceAddresses, "order=9") == 1);
+    BOOST_TEST(countRequestsWithQuery(fleet.serviceAddresses, "order=9") == 1);
     BOOST_TEST(fleet.ask(0, "GET", "/v1/services/" + fleet.service + "/stock").status == 200);
     BOOST_TEST(!contains(http(fleet.serviceAddresses[0], "GET", "/fake/ledger").body, fleet.key));
 }
 
-BOOST_AUTO_TEST_CASE(a_withdrawn_key_ends_its_open_streams)
+BOOST_AUTO_TEST_CASE(withdrawing_a_key_ends_open_streams)
 {
     ProcessFleet fleet({.entries = 2, .engineFlags = {"--token_ms=400"}});
     const std::string call = "/v1/programs/" + fleet.createProgram(0) + "/calls/1";
-    HttpAnswer cut;
+    HttpAnswer interrupted;
     std::thread caller([&]() {
-        cut = fleet.ask(1, "POST", call, modelCall(fleet.model, "a long one", 30, true));
+        interrupted = fleet.ask(1, "POST", call, modelCall(fleet.model, "a long one", 30, true));
     });
     BOOST_TEST(waitUntil([&]() {
         return !ledgerOf(fleet.engineAddresses[0]).empty();
@@ -287,7 +288,7 @@
     const CommandResult keys = fleet.ctl({"keys", "list"});
     BOOST_TEST(fleet.ctl({"keys", "withdraw", keys.output.substr(0, keys.output.find(' '))}).exitCode == 0);
     caller.join();
-    BOOST_TEST(!streamedText(cut.body).done);
+    BOOST_TEST(!streamedText(interrupted.body).done);
     BOOST_TEST(waitUntil([&]() {
         return ledgerOf(fleet.engineAddresses[0]).front().outcome == "cancelled";
     }));
--- a/tests/process/quarantine_test.cpp
+++ b/tests/process/quarantine_test.cpp
@@ -18,7 +18,7 @@
     ProcessFleet fleet({.entries = 2, .engines = 5, .engineFlags = {"--token_ms=40"}});
     liftRates(fleet);
     for (const std::string &engine : fleet.engineAddresses) {
-        orderFault(engine, R"({"kind":"crash","match":"poison","count":1000,"after_tokens":3})");
+        injectFault(engine, R"({"kind":"crash","match":"poison","count":1000,"after_tokens":3})");
     }
     std::atomic<bool> done = false;
     std::atomic<int> succeeded = 0;
--- a/tests/process/takeover_test.cpp
+++ b/tests/process/takeover_test.cpp
@@ -1,5 +1,6 @@
-/** @file takeover_test.cpp  Entries that die or pause at each stage of an order, with the caller resending through
- * another entry, and a seeded run that mixes these over many programs. The fakes' ledgers are the witness. */
+/** @file takeover_test.cpp  Failover of calls: entries are killed or paused at each stage of an order while the client
+ * retries through another entry, and randomized faults over many programs with a fixed seed. The ledgers of the fakes
+ * show which requests ran. */
 #define BOOST_TEST_MODULE takeover
 #include <boost/test/unit_test.hpp>
 
@@ -17,9 +18,9 @@
 namespace
 {
 
-/** Sends a call through one entry after the other until it has a final answer, as a patient caller does. */
+/** Sends a call through one entry after the other until it gets a final response. */
 HttpAnswer sendUntilFinal(const ProcessFleet &fleet, std::size_t entry, const std::string &path,
-    const std::string &body, std::chrono::seconds patience = std::chrono::seconds(30))
+    const std::string &body, std::chrono::seconds timeout = std::chrono::seconds(30))
 {
     HttpAnswer answer;
     waitUntil(
@@ -27,12 +28,12 @@
             answer = fleet.ask(entry++ % fleet.entryAddresses.size(), "POST", path, body);
             const bool streamEnded = answer.status == 200
                 && (answer.headers["Content-Type"] != "text/event-stream" || streamedText(answer.body).done);
-            const bool later = answer.status == 0 || answer.status >= 500 || answer.status == 429;
-            const bool lasting = errorField(answer.body, "code") == "outcome_unknown"
+            const bool retryable = answer.status == 0 || answer.status >= 500 || answer.status == 429;
+            const bool isFinal = errorField(answer.body, "code") == "outcome_unknown"
                 && errorField(answer.body, "retry_after_ms") == "0";
-            return answer.complete && (streamEnded || lasting || (answer.status != 200 && !later));
+            return answer.complete && (streamEnded || isFinal || (answer.status != 200 && !retryable));
         },
-        patience);
+        timeout);
     return answer;
 }
 
@@ -42,37 +43,37 @@
     fleet.processes.at("entry-" + std::to_string(entry))->wait();
 }
 
-/** Sends an order on a thread of its own and returns once the service has seen it. */
-std::thread orderUnderWay(ProcessFleet &fleet, const std::string &path, const std::string &body)
+/** Sends an order on a new thread and returns once the service has received it. */
+std::thread startOrder(ProcessFleet &fleet, const std::string &path, const std::string &body)
 {
     std::thread caller([&fleet, path, body]() {
         fleet.ask(0, "POST", path, body);
     });
     BOOST_TEST(waitUntil([&]() {
-        return seenWith(fleet.serviceAddresses, "order=1") == 1;
+        return countRequestsWithQuery(fleet.serviceAddresses, "order=1") == 1;
     }));
     return caller;
 }
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(an_order_whose_entry_dies_while_it_runs_is_unknown_and_not_run_again)
+BOOST_AUTO_TEST_CASE(entry_killed_during_order_gives_outcome_unknown)
 {
     ProcessFleet fleet({.entries = 2});
     const std::string path = "/v1/programs/" + fleet.createProgram(0) + "/calls/1";
     const std::string order = orderCall(fleet.service, "order=1&delay_ms=3000");
-    std::thread caller = orderUnderWay(fleet, path, order);
+    std::thread caller = startOrder(fleet, path, order);
     kill(fleet, 0);
     caller.join();
     const HttpAnswer answer = sendUntilFinal(fleet, 1, path, order);
     BOOST_TEST(errorField(answer.body, "code") == "outcome_unknown", answer.body);
     BOOST_TEST(errorField(answer.body, "ran") == "unknown");
-    BOOST_TEST(seenWith(fleet.serviceAddresses, "order=1") == 1);
+    BOOST_TEST(countRequestsWithQuery(fleet.serviceAddresses, "order=1") == 1);
     const std::string next = path.substr(0, path.size() - 1) + "2";
     BOOST_TEST(fleet.ask(1, "POST", next, modelCall(fleet.model, "go on")).status == 200);
 }
 
-BOOST_AUTO_TEST_CASE(an_order_whose_entry_dies_between_intent_and_dispatch_is_never_sent)
+BOOST_AUTO_TEST_CASE(entry_killed_before_dispatch_never_sends_order)
 {
     ProcessFleet fleet({.entries = 2});
     const std::string path = "/v1/programs/" + fleet.createProgram(0) + "/calls/1";
@@ -82,7 +83,7 @@
     std::thread caller([&]() {
         fleet.ask(0, "POST", path, order);
     });
-    // The intent is in the journal as soon as the program shows it; the service can't be reached then.
+    // As soon as the program shows the intent, it is in the journal; the service is still down.
     BOOST_TEST(waitUntil([&]() {
         return fleet.ask(0, "GET", path.substr(0, path.find("/calls"))).body.find("\"intent\"") != std::string::npos;
     }));
@@ -91,10 +92,10 @@
     fleet.startService(0);
     const HttpAnswer answer = sendUntilFinal(fleet, 1, path, order);
     BOOST_TEST(errorField(answer.body, "code") == "outcome_unknown", answer.body);
-    BOOST_TEST(seenWith(fleet.serviceAddresses, "order=1") == 0);
+    BOOST_TEST(countRequestsWithQuery(fleet.serviceAddresses, "order=1") == 0);
 }
 
-BOOST_AUTO_TEST_CASE(an_order_whose_entry_dies_while_the_journal_does_not_answer_runs_at_most_once)
+BOOST_AUTO_TEST_CASE(entry_killed_while_journal_is_down_runs_order_at_most_once)
 {
     for (const bool dispatched : {false, true}) {
         ProcessFleet fleet({.entries = 2});
@@ -105,7 +106,7 @@
         };
         std::thread caller;
         if (dispatched) {
-            caller = orderUnderWay(fleet, path, order);
+            caller = startOrder(fleet, path, order);
             pause(SIGSTOP);
             waitUntil([&]() {
                 return ledgerOf(fleet.serviceAddresses[0]).front().outcome == "ok";
@@ -116,7 +117,7 @@
                 fleet.ask(0, "POST", path, order);
             });
             std::this_thread::sleep_for(std::chrono::milliseconds(200));
-            BOOST_TEST(seenWith(fleet.serviceAddresses, "order=1") == 0);
+            BOOST_TEST(countRequestsWithQuery(fleet.serviceAddresses, "order=1") == 0);
         }
         kill(fleet, 0);
         pause(SIGCONT);
@@ -124,14 +125,14 @@
         const HttpAnswer answer = sendUntilFinal(fleet, 1, path, order);
         const bool unknown = errorField(answer.body, "code") == "outcome_unknown";
         BOOST_TEST((answer.status == 200 || unknown), answer.body);
-        const int runs = seenWith(fleet.serviceAddresses, "order=1");
+        const int runs = countRequestsWithQuery(fleet.serviceAddresses, "order=1");
         BOOST_TEST(runs <= 1);
         BOOST_TEST((answer.status != 200 || runs == 1));
         BOOST_TEST((!dispatched || runs == 1));
     }
 }
 
-BOOST_AUTO_TEST_CASE(a_stream_whose_entry_dies_is_whole_after_a_resend)
+BOOST_AUTO_TEST_CASE(retry_after_entry_failure_completes_a_stream)
 {
     ProcessFleet fleet({.entries = 2, .engineFlags = {"--token_ms=100"}});
     const std::string path = "/v1/programs/" + fleet.createProgram(0) + "/calls/1";
@@ -146,32 +147,32 @@
     kill(fleet, 0);
     caller.join();
     BOOST_TEST(!streamedText(cut.body).done);
-    const HttpAnswer whole = sendUntilFinal(fleet, 1, path, body);
-    BOOST_TEST(streamedText(whole.body).done, whole.body);
-    BOOST_TEST(streamedText(whole.body).text.starts_with(streamedText(cut.body).text));
+    const HttpAnswer complete = sendUntilFinal(fleet, 1, path, body);
+    BOOST_TEST(streamedText(complete.body).done, complete.body);
+    BOOST_TEST(streamedText(complete.body).text.starts_with(streamedText(cut.body).text));
 }
 
-BOOST_AUTO_TEST_CASE(a_paused_owner_that_comes_back_hands_its_result_over)
+BOOST_AUTO_TEST_CASE(resumed_owner_forwards_its_result)
 {
     ProcessFleet fleet({.entries = 2});
     const std::string path = "/v1/programs/" + fleet.createProgram(0) + "/calls/1";
     const std::string order = orderCall(fleet.service, "order=1&delay_ms=1000");
-    std::thread caller = orderUnderWay(fleet, path, order);
+    std::thread caller = startOrder(fleet, path, order);
     fleet.processes.at("entry-0")->signal(SIGSTOP);
-    HttpAnswer between;
+    HttpAnswer duringPause;
     BOOST_TEST(waitUntil([&]() {
-        between = fleet.ask(1, "POST", path, order);
-        return between.status != 0 && errorField(between.body, "code") == "outcome_unknown";
+        duringPause = fleet.ask(1, "POST", path, order);
+        return duringPause.status != 0 && errorField(duringPause.body, "code") == "outcome_unknown";
     }));
-    BOOST_TEST(errorField(between.body, "retry_after_ms") != "0");
+    BOOST_TEST(errorField(duringPause.body, "retry_after_ms") != "0");
     fleet.processes.at("entry-0")->signal(SIGCONT);
     const HttpAnswer answer = sendUntilFinal(fleet, 1, path, order);
     caller.join();
     BOOST_TEST(answer.status == 200, answer.body);
-    BOOST_TEST(seenWith(fleet.serviceAddresses, "order=1") == 1);
+    BOOST_TEST(countRequestsWithQuery(fleet.serviceAddresses, "order=1") == 1);
 }
 
-BOOST_AUTO_TEST_CASE(history_and_budget_outlive_two_entries_lost_one_after_the_other)
+BOOST_AUTO_TEST_CASE(history_and_budget_survive_two_entry_failures)
 {
     ProcessFleet fleet({.entries = 3});
     const std::string program = "/v1/programs/" + fleet.createProgram(0, R"({"budget":{"calls":4}})");
@@ -194,9 +195,10 @@
     BOOST_TEST(fleet.ask(2, "POST", program + "/calls/5", modelCall(fleet.model, "none")).status == 402);
 }
 
-/** Invariants: an order runs at most once, and a final answer 200 means once; history has each program's own texts in
- * order; no call number has two answers; the call budget holds; a refusal that says not run left no trace. */
-void keepPromisesUnderDisorder(int roundsPerKill, int firstKillRound)
+/** Invariants: an order runs at most once, and exactly once if its final status is 200; the history of a program has
+ * only its own texts, in order; retries of a call get the same response; the call budget holds; a request that is
+ * rejected as not run has no effect. */
+void checkInvariantsUnderFaults(int roundsPerKill, int firstKillRound)
 {
     constexpr unsigned Seed = 5;
     constexpr int Programs = 200;
@@ -206,19 +208,19 @@
     ProcessFleet fleet({.entries = 3, .engines = 3, .services = 2});
     liftRates(fleet);
     std::mutex mutex;
-    std::vector<std::string> faults;
+    std::vector<std::string> violations;
     std::atomic<int> next = 0;
     std::atomic<bool> done = false;
-    const auto note = [&](const std::string &what) {
+    const auto addViolation = [&](const std::string &what) {
         const std::lock_guard lock(mutex);
-        faults.push_back(what);
+        violations.push_back(what);
     };
     const auto runProgram = [&](int index, std::mt19937 &random) {
         const std::string tag = "p" + std::to_string(index);
         const HttpAnswer created = sendUntilFinal(fleet, random() % 3, "/v1/programs", R"({"budget":{"calls":4}})");
         const std::size_t at = created.body.find("p-");
         if (created.status != 201 || at == std::string::npos) {
-            note(tag + " was not created: " + created.body);
+            addViolation(tag + " was not created: " + created.body);
             return;
         }
         const std::string path = "/v1/programs/" + created.body.substr(at, created.body.find('"', at) - at);
@@ -231,20 +233,21 @@
             const HttpAnswer answer = sendUntilFinal(fleet, random() % 3, call, body, std::chrono::seconds(60));
             const HttpAnswer again = sendUntilFinal(fleet, random() % 3, call, body, std::chrono::seconds(60));
             if (again.body != answer.body) {
-                note(tag + " has two answers to one call: " + answer.body + " and " + again.body);
+                addViolation(tag + " got different responses to the same call: " + answer.body + " and " + again.body);
             }
             const bool unknown = errorField(answer.body, "code") == "outcome_unknown";
-            const int runs = isOrder ? seenWith(fleet.serviceAddresses, name) : 0;
+            const int runs = isOrder ? countRequestsWithQuery(fleet.serviceAddresses, name) : 0;
             if (isOrder && (runs > 1 || (answer.status == 200 && runs != 1) || (answer.status != 200 && !unknown))) {
-                note(name + " ran " + std::to_string(runs) + " times: " + answer.body);
+                addViolation(name + " ran " + std::to_string(runs) + " times: " + answer.body);
             }
             if (!isOrder && answer.status != 200) {
-                note(tag + " model call failed: " + answer.body);
+                addViolation(tag + " model call failed: " + answer.body);
             }
         }
-        const HttpAnswer over = sendUntilFinal(fleet, random() % 3, path + "/calls/5", modelCall(fleet.model, "over"));
-        if (over.status != 402) {
-            note(tag + " went over its budget: " + over.body);
+        const HttpAnswer overBudget =
+            sendUntilFinal(fleet, random() % 3, path + "/calls/5", modelCall(fleet.model, "over"));
+        if (overBudget.status != 402) {
+            addViolation(tag + " exceeded its budget: " + overBudget.body);
         }
         std::string shown;
         waitUntil([&]() {
@@ -255,7 +258,7 @@
         for (int other = 0; other < Programs; ++other) {
             const std::string mark = "\\\"p" + std::to_string(other) + " line";
             if (other != index && shown.find(mark) != std::string::npos) {
-                note(tag + " holds the history of program " + std::to_string(other));
+                addViolation(tag + " has text of program " + std::to_string(other));
             }
         }
     };
@@ -269,11 +272,11 @@
             }
         });
     }
-    std::thread disorder([&]() {
+    std::thread faultInjector([&]() {
         std::mt19937 random(Seed);
         const std::vector<std::string> kinds = {"truncate", "crossed", "late", "refuse"};
         for (int round = 1; !done; ++round) {
-            orderFault(fleet.engineAddresses[random() % 3],
+            injectFault(fleet.engineAddresses[random() % 3],
                 R"({"kind":")" + kinds[random() % 4] + R"(","count":1,"delay_ms":50})");
             if (round % roundsPerKill == firstKillRound) {
                 const std::size_t entry = random() % 3;
@@ -288,19 +291,19 @@
         worker.join();
     }
     done = true;
-    disorder.join();
+    faultInjector.join();
     BOOST_TEST(kills >= 1);
-    for (const std::string &fault : faults) {
-        BOOST_ERROR(fault);
+    for (const std::string &violation : violations) {
+        BOOST_ERROR(violation);
     }
 }
 
-BOOST_AUTO_TEST_CASE(two_hundred_programs_keep_their_promises_while_entries_die_and_endpoints_fail)
+BOOST_AUTO_TEST_CASE(invariants_hold_while_entries_and_endpoints_fail)
 {
-    keepPromisesUnderDisorder(8, 2); // The first kill soon, as a quick run ends before the second.
+    checkInvariantsUnderFaults(8, 2); // Kills early, as a fast run ends before the second kill.
 }
 
-BOOST_AUTO_TEST_CASE(two_hundred_programs_keep_their_promises_while_entries_die_faster_than_they_are_taken_over)
+BOOST_AUTO_TEST_CASE(invariants_hold_while_entries_fail_faster_than_takeover)
 {
-    keepPromisesUnderDisorder(4, 0); // A kill each 1.6 s; a takeover waits 3.3 s for the lease.
+    checkInvariantsUnderFaults(4, 0); // A kill every 1.6 s; a takeover waits 3.3 s for the lease to expire.
 }
--- a/tests/process/thin_path_test.cpp
+++ b/tests/process/thin_path_test.cpp
@@ -1,5 +1,5 @@
-/** @file thin_path_test.cpp  A program served from end to end by real processes, and the errors that callers and
- * operators meet first. */
+/** @file thin_path_test.cpp  End-to-end run of a program on real processes, and the most common errors of clients and
+ * operators. */
 #define BOOST_TEST_MODULE thin_path
 #include <boost/test/unit_test.hpp>
 
@@ -26,7 +26,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(a_program_runs_from_end_to_end)
+BOOST_AUTO_TEST_CASE(program_runs_end_to_end)
 {
     ProcessFleet fleet;
     const std::string calls = "/v1/programs/" + fleet.createProgram(0) + "/calls/";
@@ -46,7 +46,7 @@
     BOOST_TEST(!contains(http(fleet.engineAddresses[0], "GET", "/fake/ledger").body, fleet.key));
 }
 
-BOOST_AUTO_TEST_CASE(history_and_keys_outlive_a_restart_of_every_daemon)
+BOOST_AUTO_TEST_CASE(history_and_keys_survive_a_restart)
 {
     ProcessFleet fleet;
     const std::string program = "/v1/programs/" + fleet.createProgram(0);
@@ -63,7 +63,7 @@
     BOOST_TEST(fleet.ask(0, "POST", program + "/calls/1", ModelCall).body == first.body);
 }
 
-BOOST_AUTO_TEST_CASE(a_withdrawn_key_stops_working)
+BOOST_AUTO_TEST_CASE(withdrawn_key_is_rejected)
 {
     ProcessFleet fleet;
     const CommandResult keys = fleet.ctl({"keys", "list"});
@@ -76,7 +76,7 @@
         std::chrono::seconds(2)));
 }
 
-BOOST_AUTO_TEST_CASE(malformed_requests_get_typed_errors_with_a_remedy)
+BOOST_AUTO_TEST_CASE(malformed_requests_get_errors_with_a_remedy)
 {
     ProcessFleet fleet;
     const std::string call = "/v1/programs/" + fleet.createProgram(0) + "/calls/1";
@@ -95,7 +95,7 @@
     BOOST_TEST(fleet.ask(0, "GET", "/nowhere").status == 404);
 }
 
-BOOST_AUTO_TEST_CASE(wrong_settings_a_busy_port_and_an_unwritable_folder_end_with_their_exit_codes)
+BOOST_AUTO_TEST_CASE(startup_failures_have_their_exit_codes)
 {
     const CommandResult wrong = runCommand("chestnuthook-entry", {"--listen=nowhere", "--controls=", "--colour=red"});
     BOOST_TEST(wrong.exitCode == 2);
--- a/tests/support/program_call.cpp
+++ b/tests/support/program_call.cpp
@@ -1,4 +1,4 @@
-/** @file program_call.cpp  Calls, faults and ledgers. */
+/** @file program_call.cpp  Request bodies, fault injection and ledgers. */
 #include "support/program_call.h"
 
 #include <algorithm>
@@ -40,7 +40,7 @@
         const auto row = list->getObject(i);
         const auto path = row->getValue<std::string>("path");
         if (path.starts_with("/v1/cache") || path == "/v1/load") {
-            continue; // Not a caller's work.
+            continue; // Not a client request.
         }
         rows.push_back(LedgerRow{row->getValue<std::string>("attempt"), row->getValue<std::string>("program"), path,
             row->getValue<std::string>("query"), row->getValue<std::string>("outcome"),
@@ -49,7 +49,7 @@
     return rows;
 }
 
-int seenWith(const std::vector<std::string> &addresses, const std::string &query)
+int countRequestsWithQuery(const std::vector<std::string> &addresses, const std::string &query)
 {
     int count = 0;
     for (const std::string &address : addresses) {
@@ -61,10 +61,10 @@
     return count;
 }
 
-void orderFault(const std::string &address, const std::string &json)
+void injectFault(const std::string &address, const std::string &json)
 {
     if (http(address, "POST", "/fake/fault", json).status != 200) {
-        throw std::runtime_error("fault was not taken: " + json);
+        throw std::runtime_error("the fake rejected the fault: " + json);
     }
 }
 
@@ -147,7 +147,7 @@
     }
     file.close();
     if (fleet.ctl({"apply", fleet.basePath(), overlay}).exitCode != 0) {
-        throw std::runtime_error("rates were not taken");
+        throw std::runtime_error("applying the rates failed");
     }
 }
 
