--- a/src/entry/call_stream_base.h
+++ b/src/entry/call_stream_base.h
@@ -52,8 +52,7 @@
     void removeReader();
 
     CancelToken cancel; ///< Cancels the attempt in progress.
-    const bool
-        cancellable; ///< True for idempotent calls. Others run to the end, as only their result shows whether they ran.
+    const bool cancellable; ///< Idempotent. Others run to the end, as only their result shows whether they ran.
 
 private:
     std::mutex mutex; ///< Guards the members below.
--- a/src/entry/call_worker_base.cpp
+++ b/src/entry/call_worker_base.cpp
@@ -21,7 +21,7 @@
 constexpr int StatusTooManyRequests = 429;
 constexpr int StatusServerError = 500;
 
-/** An attempt times out after the timeout of the call divided by this number without receiving a byte. */
+/** An attempt counts as hung if it receives no byte for the timeout of the call divided by this number. */
 constexpr std::int64_t EngineStallDivisor = 6;
 constexpr std::int64_t ServiceStallDivisor = 2;
 
--- a/src/entry/fleet_view_type.h
+++ b/src/entry/fleet_view_type.h
@@ -35,8 +35,7 @@
 struct FleetView
 {
     Revision revision; ///< Revision of the declarations.
-    std::unordered_map<std::string, ClientIdentity>
-        clients; ///< Clients by raw SHA-256 of the API key, without withdrawn keys.
+    std::unordered_map<std::string, ClientIdentity> clients; ///< By raw SHA-256 of the API key, without withdrawn keys.
     std::unordered_map<TenantId, TenantDeclaration> tenants; ///< Declared customers.
     std::unordered_map<ModelId, ModelDeclaration> models; ///< Declared models.
     std::unordered_map<ServiceId, ServiceDeclaration> services; ///< Declared services.
--- a/src/entry/program_runtime_base.h
+++ b/src/entry/program_runtime_base.h
@@ -29,8 +29,7 @@
     Epoch epoch; ///< Epoch with which writes to the journal are fenced.
     bool ready = false; ///< Opened in the journal, with its programs loaded.
     bool opening = false; ///< Being opened.
-    bool stale =
-        false; ///< A commit completed while the programs were being loaded, so that the loaded state may lack it.
+    bool stale = false; ///< A commit completed while the programs were loaded, which may lack its change.
 };
 
 /** A call in progress at this entry. */
@@ -62,8 +61,7 @@
 {
     TenantId tenant; ///< Customer that the API key of the client belongs to.
     KeyId key; ///< Id of the API key; for events only.
-    Budget
-        budget; ///< Budget; fields that are 0 take the site's defaults, or for a child a share of its parent's budget.
+    Budget budget; ///< Fields that are 0 take the site's defaults, or for a child a share of its parent's budget.
     ProgramId parent; ///< Parent program; empty for a root program.
     std::string idempotencyKey; ///< Idempotency-Key of the request; empty for none.
     std::string digest; ///< Digest of the request.
@@ -99,8 +97,8 @@
     [[nodiscard]] kj::Promise<Result<CallStart>> beginCall(
         ProgramId program, CallNumber number, TenantId tenant, CallRequest request);
 
-    /** Journals that @p endpoint is about to run a call of the program and, unless @p tokens are reserved already,
-     * reserves a block of tokens from its budget. */
+    /** Prepares an attempt: journals that @p endpoint will hold cache of the program, and reserves a block of tokens
+     * from its budget unless @p tokens are reserved already. */
     [[nodiscard]] kj::Promise<Result<void>> prepareAttempt(
         ProgramId program, EndpointId endpoint, std::uint64_t tokens);
 
@@ -131,8 +129,7 @@
         return this->running.size();
     }
 
-    std::function<void(ProgramId, EndpointId)>
-        releaseCache; ///< Starts releasing a cache; must lead to a call of `onCacheReleased`.
+    std::function<void(ProgramId, EndpointId)> releaseCache; ///< Starts a release, which ends in `onCacheReleased`.
 
 private:
     kj::Promise<void> openSlots(std::vector<std::pair<SlotId, Epoch>> slots);
@@ -171,13 +168,10 @@
     std::map<SlotId, OwnedSlot> ownedSlots; ///< Slots that the fleet state assigns to this entry.
     std::map<ProgramId, RunningCall> running; ///< Calls in progress, at most one per program.
     std::map<ProgramId, std::uint64_t> reservedTokens; ///< Reserved tokens that are not used yet, by program.
-    std::set<ProgramId> pendingUpkeep; ///< Programs with orphaned intents, caches to release, children to end, or a
-                                       ///< retention to wait for.
+    std::set<ProgramId> pendingUpkeep; ///< Programs with orphaned intents, releases, children to end or a retention.
     std::set<ProgramId> upkeepInProgress; ///< Programs whose upkeep is in progress.
-    std::map<ProgramId, std::int64_t>
-        idleSinceMs; ///< Wall time since which no call of the program runs, in milliseconds.
-    std::set<AttemptId>
-        unsentAttempts; ///< Attempts that failed before anything was sent, though their intent may be in the journal.
+    std::map<ProgramId, std::int64_t> idleSinceMs; ///< Wall time since which no call of a program has run.
+    std::set<AttemptId> unsentAttempts; ///< Attempts that were never sent, though their intent may be journaled.
     kj::Promise<void> takeoverChain; ///< Opens slots, one batch after the other.
     kj::Own<kj::TaskSet::ErrorHandler> taskErrorHandler; ///< Logs failed background tasks.
     kj::Own<kj::TaskSet> taskSet; ///< Owns the background tasks.
