--- a/src/entry/request_forwarder_base.h
+++ b/src/entry/request_forwarder_base.h
@@ -17,7 +17,7 @@
 public:
     RequestForwarder(EntryContext &context, ResponseWriter &writer);
 
-    /** Errors: NotReady if the other entry did not respond; `ran` is unknown once the request was sent. The request
+    /** Errors: NotReady where the other entry did not answer; `ran` is unknown once the request was sent. The request
      * is safe to forward again: the owner recognises a call that it has started by its number and content. */
     Result<void> run(const std::string &address, const ClientRequest &request);
 
