--- a/bench/program_bench.cpp
+++ b/bench/program_bench.cpp
@@ -92,7 +92,7 @@
     constexpr int SmokeCalls = 20;
     constexpr int Calls = 400;
     ProcessFleet fleet({.entries = 2, .engineFlags = {"--token_ms=0"}});
-    liftRates(fleet);
+    raiseRateLimits(fleet);
     measureCalls(fleet, smoke ? SmokeCalls : Calls, !smoke);
     measureTakeover(fleet, !smoke);
     return 0;
--- a/tests/process/drain_test.cpp
+++ b/tests/process/drain_test.cpp
@@ -16,7 +16,7 @@
 {
     constexpr int Streams = 200;
     ProcessFleet fleet({.entries = 3, .engines = 4, .engineFlags = {"--token_ms=150", "--batch=64"}});
-    liftRates(fleet);
+    raiseRateLimits(fleet);
     std::vector<std::string> programs(Streams);
     for (std::string &program : programs) {
         BOOST_REQUIRE(waitUntil([&]() {
@@ -72,7 +72,7 @@
 {
     constexpr int Clients = 12;
     ProcessFleet fleet({.entries = 3});
-    liftRates(fleet);
+    raiseRateLimits(fleet);
     std::atomic<bool> done = false;
     std::mutex mutex;
     std::vector<std::string> failures;
--- a/tests/process/quarantine_test.cpp
+++ b/tests/process/quarantine_test.cpp
@@ -16,7 +16,7 @@
     constexpr int Resends = 20;
     constexpr int OtherClients = 6;
     ProcessFleet fleet({.entries = 2, .engines = 5, .engineFlags = {"--token_ms=40"}});
-    liftRates(fleet);
+    raiseRateLimits(fleet);
     for (const std::string &engine : fleet.engineAddresses) {
         injectFault(engine, R"({"kind":"crash","match":"poison","count":1000,"after_tokens":3})");
     }
--- a/tests/process/takeover_test.cpp
+++ b/tests/process/takeover_test.cpp
@@ -206,7 +206,7 @@
     constexpr int Calls = 4;
     int kills = 0;
     ProcessFleet fleet({.entries = 3, .engines = 3, .services = 2});
-    liftRates(fleet);
+    raiseRateLimits(fleet);
     std::mutex mutex;
     std::vector<std::string> violations;
     std::atomic<int> next = 0;
--- a/tests/support/program_call.cpp
+++ b/tests/support/program_call.cpp
@@ -136,7 +136,7 @@
     session.abort();
 }
 
-void liftRates(const ProcessFleet &fleet)
+void raiseRateLimits(const ProcessFleet &fleet)
 {
     const std::string overlay = fleet.folder + "/rates.yaml";
     std::ofstream file(overlay);
--- a/tests/support/program_call.h
+++ b/tests/support/program_call.h
@@ -54,6 +54,6 @@
 void abandonRequest(const ProcessFleet &fleet, std::size_t entry, const std::string &path, const std::string &body);
 
 /** Raises the rate limits of all customers beyond what any test reaches. */
-void liftRates(const ProcessFleet &fleet);
+void raiseRateLimits(const ProcessFleet &fleet);
 
 } // namespace Chestnuthook::Testing
