--- a/src/entry/admission_gate_base.cpp
+++ b/src/entry/admission_gate_base.cpp
@@ -60,7 +60,7 @@
 Result<void> AdmissionGate::admit(const ClientIdentity &client)
 {
     if (!this->follower.views.get()->tenants.contains(client.tenant)) {
-        return fail(ErrorKind::UnknownKey, "the customer is not declared");
+        return fail(ErrorKind::UnknownKey, "the tenant is not declared");
     }
     const Instant begin = this->loop.timers().now();
     for (;;) {
@@ -89,7 +89,7 @@
                 Error{ErrorKind::RateExceeded, client.tenant.text, Ran::No, toMsRoundedUp(verdict.retryAfter)});
         }
         if (waited > MaxOwnerWait || !this->follower.isFresh()) {
-            return tl::unexpected(Error{ErrorKind::NotReady, "the owner of the customer's rate limit can't be reached",
+            return tl::unexpected(Error{ErrorKind::NotReady, "the owner of the tenant's rate limit can't be reached",
                 Ran::No, std::max(NotReadyRetryAfterMs, toMsRoundedUp(verdict.retryAfter))});
         }
         if (!granted) {
--- a/src/entry/http_server_base.cpp
+++ b/src/entry/http_server_base.cpp
@@ -14,8 +14,8 @@
 {
 
 constexpr int ThreadStackBytes = 256 * 1024;
-constexpr int IdleSeconds = 30;
-constexpr int Backlog = 512;
+constexpr int IdleTimeoutSeconds = 30;
+constexpr int MaxQueuedConnections = 512;
 
 } // namespace
 
@@ -37,11 +37,11 @@
     try {
         Poco::Net::HTTPServerParams::Ptr params(new Poco::Net::HTTPServerParams);
         params->setMaxThreads(clientPort.limits.maxConnections);
-        params->setMaxQueued(Backlog);
-        params->setTimeout(Poco::Timespan(IdleSeconds, 0));
+        params->setMaxQueued(MaxQueuedConnections);
+        params->setTimeout(Poco::Timespan(IdleTimeoutSeconds, 0));
         params->setKeepAlive(true);
-        this->threads =
-            std::make_unique<Poco::ThreadPool>(2, clientPort.limits.maxConnections, IdleSeconds, ThreadStackBytes);
+        this->threads = std::make_unique<Poco::ThreadPool>(
+            2, clientPort.limits.maxConnections, IdleTimeoutSeconds, ThreadStackBytes);
         this->server = std::make_unique<Poco::Net::HTTPServer>(
             new RequestHandlerFactory(this->context), *this->threads, listenForClients(port, address), params);
         this->server->setConnectionFilter(makeConnectionFilter());
--- a/src/entry/limited_socket_base.cpp
+++ b/src/entry/limited_socket_base.cpp
@@ -23,7 +23,7 @@
 namespace
 {
 
-constexpr int Backlog = 512;
+constexpr int ListenBacklog = 512;
 constexpr std::int64_t OverloadedRetryAfterMs = 1000;
 constexpr std::size_t DiscardChunkBytes = 8UL * 1024;
 constexpr std::size_t MaxDiscardedBytes = 256UL * 1024;
@@ -268,7 +268,7 @@
 {
     LimitedServerSocket socket(port);
     socket.bind(Poco::Net::SocketAddress(address), true);
-    socket.listen(Backlog);
+    socket.listen(ListenBacklog);
     return socket;
 }
 
--- a/src/entry/permit_broker_base.cpp
+++ b/src/entry/permit_broker_base.cpp
@@ -187,7 +187,7 @@
     localPermit.acknowledged = true;
     const ListedEndpoint *endpoint = this->findListed(localPermit.endpoint);
     this->ledger.setBound(
-        localPermit.endpoint, inFlightBound(endpoint == nullptr ? localPermit.request.kind : endpoint->kind));
+        localPermit.endpoint, maxInFlight(endpoint == nullptr ? localPermit.request.kind : endpoint->kind));
     if (localPermit.running) {
         this->ledger.adopt(localPermit.endpoint, key, this->waitingCallFor(localPermit));
         return;
@@ -277,7 +277,7 @@
             continue;
         }
         const std::size_t share =
-            std::max<std::size_t>(1, inFlightBound(found->second.request.kind) / this->liveEntryCount());
+            std::max<std::size_t>(1, maxInFlight(found->second.request.kind) / this->liveEntryCount());
         std::size_t &used = this->fallbacks[found->second.endpoint];
         if (used < share) {
             ++used;
--- a/src/entry/permit_broker_base.h
+++ b/src/entry/permit_broker_base.h
@@ -24,12 +24,12 @@
 namespace Chestnuthook
 {
 
-constexpr std::size_t EngineInFlight = 32; ///< Maximum number of calls in flight at one engine.
-constexpr std::size_t ServiceInFlight = 64; ///< Maximum number of calls in flight at one service replica.
+constexpr std::size_t MaxEngineInFlight = 32; ///< Maximum number of calls in flight at one engine.
+constexpr std::size_t MaxServiceInFlight = 64; ///< Maximum number of calls in flight at one service replica.
 
-[[nodiscard]] constexpr std::size_t inFlightBound(EndpointKind kind)
+[[nodiscard]] constexpr std::size_t maxInFlight(EndpointKind kind)
 {
-    return kind == EndpointKind::Engine ? EngineInFlight : ServiceInFlight;
+    return kind == EndpointKind::Engine ? MaxEngineInFlight : MaxServiceInFlight;
 }
 
 /** Result of a wait for a permit. */
--- a/src/entry/permit_exchange_base.cpp
+++ b/src/entry/permit_exchange_base.cpp
@@ -179,7 +179,7 @@
         }
         const PermitKey key{EntryId{textOf(request.getEntry())}, request.getPermit()};
         if (const ListedEndpoint *one = this->findListed(endpoint)) {
-            this->ledger.setBound(endpoint, inFlightBound(one->kind));
+            this->ledger.setBound(endpoint, maxInFlight(one->kind));
         }
         WaitingCall call;
         call.tenant = TenantId{textOf(request.getTenant())};
--- a/src/entry/worker_pool_base.h
+++ b/src/entry/worker_pool_base.h
@@ -62,10 +62,10 @@
     };
 
     static constexpr int MaxThreads = 1024;
-    static constexpr int IdleSeconds = 30;
+    static constexpr int IdleTimeoutSeconds = 30;
     static constexpr int StackBytes = 256 * 1024;
 
-    Poco::ThreadPool pool{2, MaxThreads, IdleSeconds, StackBytes}; ///< The worker threads.
+    Poco::ThreadPool pool{2, MaxThreads, IdleTimeoutSeconds, StackBytes}; ///< The worker threads.
 };
 
 } // namespace Chestnuthook
