--- a/src/entry/call_responder_base.h
+++ b/src/entry/call_responder_base.h
@@ -30,10 +30,10 @@
     Result<void> sendResponse(const Result<CallRecord> &result, const CallRequest &request);
     void writeChunk(const CallRequest &request, const AttemptId &attempt, std::string_view text);
 
-    EntryContext &context; ///< Of the entry.
+    EntryContext &context; ///< Shared state of the entry.
     ResponseWriter &writer; ///< Response to the client.
-    ProgramId program; ///< Whose call it is; empty for none.
-    TenantId tenant; ///< For whom it runs.
+    ProgramId program; ///< Program that makes the call; empty for none.
+    TenantId tenant; ///< Customer on whose behalf it runs.
 };
 
 } // namespace Chestnuthook
--- a/src/entry/main.cpp
+++ b/src/entry/main.cpp
@@ -48,7 +48,7 @@
     {"max_header_bytes", "limits", rangeCheck(1024, 1048576), "give a number of bytes from 1024 to 1048576"},
     {"request_send_ms", "limits", rangeCheck(100, 600000), "give milliseconds from 100 to 600000"},
     {"log_file", "logging", {}, "name a file that this user may write"},
-    {"log_level", "logging", oneOfCheck({"debug", "info", "warning", "error"}), "say debug, info, warning or error"},
+    {"log_level", "logging", oneOfCheck({"debug", "info", "warning", "error"}), "use debug, info, warning or error"},
 };
 
 EntrySettings settingsOf(std::string secret)
--- a/src/entry/request_forwarder_base.cpp
+++ b/src/entry/request_forwarder_base.cpp
@@ -29,16 +29,16 @@
     {
         std::optional<int> status; ///< Set in the first piece.
         std::vector<HttpHeader> headers; ///< Set in the first piece.
-        std::string bytes; ///< Of the body.
+        std::string bytes; ///< Part of the body.
     };
 
     std::mutex mutex; ///< Guards all members except those for the control thread.
     std::condition_variable changed; ///< Notified when a piece arrives or the response ends.
-    std::deque<Piece> pieces; ///< Not yet written.
+    std::deque<Piece> pieces; ///< Pieces that were not written yet.
     bool ended = false; ///< The response is complete.
     bool failed = false; ///< The connection to the other entry failed.
     bool sent = false; ///< The request may have reached the other entry; for the control thread.
-    std::string what; ///< Why it failed.
+    std::string what; ///< Reason of the failure.
     kj::Maybe<kj::Promise<void>> call; ///< The RPC in progress; for the control thread.
 
     void push(Piece piece)
@@ -91,7 +91,7 @@
     }
 
 private:
-    std::shared_ptr<Pipe> pipe; ///< To the traffic thread.
+    std::shared_ptr<Pipe> pipe; ///< Pipe to the traffic thread.
 };
 
 RequestForwarder::RequestForwarder(EntryContext &context, ResponseWriter &writer)
--- a/src/entry/request_forwarder_base.h
+++ b/src/entry/request_forwarder_base.h
@@ -17,8 +17,9 @@
 public:
     RequestForwarder(EntryContext &context, ResponseWriter &writer);
 
-    /** Errors: NotReady where the other entry did not answer; `ran` is unknown once the request was sent. The request
-     * is safe to forward again: the owner recognises a call that it has started by its number and content. */
+    /** Forwards the request to the entry at @p address. Errors: NotReady if that entry did not respond, with `ran`
+     * unknown if the request was sent. The request is safe to forward again: the owner recognises a call that it has
+     * started by its number and content. */
     Result<void> run(const std::string &address, const ClientRequest &request);
 
 private:
@@ -28,7 +29,7 @@
     /** Whether the entry at @p address still holds its lease. A paused entry stays connected but never responds. */
     [[nodiscard]] bool hasLease(const std::string &address) const;
 
-    EntryContext &context; ///< Of the entry.
+    EntryContext &context; ///< Shared state of the entry.
     ResponseWriter &writer; ///< Response to the client.
 };
 
--- a/src/entry/response_writer_base.h
+++ b/src/entry/response_writer_base.h
@@ -25,7 +25,7 @@
     ResponseWriter(const ResponseWriter &) = delete;
     ResponseWriter &operator=(const ResponseWriter &) = delete;
 
-    /** @param length bytes of the body, or -1 for a stream. */
+    /** Sends the status and headers. @param length size of the body in bytes, or -1 for a stream. */
     virtual void start(int status, const std::vector<HttpHeader> &headers, std::int64_t length) = 0;
     /** Sends part of the body. @return false if the client has disconnected. */
     virtual bool write(std::string_view bytes) = 0;
@@ -66,13 +66,13 @@
     bool errorSent = false; ///< The error for a withdrawn key was sent.
 };
 
-/** Sends @p body as JSON. */
+/** Sends a response with a JSON body. */
 void replyJson(ResponseWriter &writer, int status, const std::string &body);
 
-/** Sends @p body with content type @p type. */
+/** Sends a response with a body of content type @p type. */
 void replyText(ResponseWriter &writer, int status, const std::string &type, const std::string &body);
 
-/** Sends @p error with its code, message, remedy, and whether the request ran. */
+/** Sends an error response: code, message, remedy, and whether the request was run. */
 void replyError(ResponseWriter &writer, const Error &error);
 
 } // namespace Chestnuthook
