--- a/src/control/main.cpp
+++ b/src/control/main.cpp
@@ -121,9 +121,9 @@
     {
         using Daemon = MemberDaemon;
         return {
-            childRow("state", *this, &Daemon::openState),
-            childRow("replication", *this, &Daemon::startReplication),
-            childRow("port", *this, &Daemon::startPort),
+            makeChildSpecification("state", *this, &Daemon::openState),
+            makeChildSpecification("replication", *this, &Daemon::startReplication),
+            makeChildSpecification("port", *this, &Daemon::startPort),
         };
     }
 
@@ -158,7 +158,7 @@
 
 int main(int argc, char **argv)
 {
-    const DaemonStart start = startDaemon(argc, argv, withFleetSecurity(Settings));
+    const DaemonSettings start = loadDaemonSettings(argc, argv, withFleetSecurity(Settings));
     if (start.exitCode) {
         return *start.exitCode;
     }
--- a/src/core/settings_func.cpp
+++ b/src/core/settings_func.cpp
@@ -230,19 +230,19 @@
     return outcome;
 }
 
-void refuseWords(SettingsOutcome &outcome, int argc, char **argv)
+void rejectPositionalArguments(SettingsOutcome &outcome, int argc, char **argv)
 {
     for (int i = 1; i < argc; ++i) {
         addFault(outcome.faults, "unexpected word '" + std::string(argv[i]) + "'", "give settings as --FLAG=VALUE");
     }
 }
 
-DaemonStart startDaemon(int argc, char **argv, const std::vector<SettingCheck> &checks)
+DaemonSettings loadDaemonSettings(int argc, char **argv, const std::vector<SettingCheck> &checks)
 {
-    DaemonStart start;
+    DaemonSettings start;
     SettingsOutcome outcome = loadSettings(argc, argv, checks, {"CHESTNUTHOOK_SECRET"});
     if (outcome.help.empty()) {
-        refuseWords(outcome, argc, argv);
+        rejectPositionalArguments(outcome, argc, argv);
         std::string file;
         gflags::GetCommandLineOption("secret_file", &file);
         const Result<std::string> secret = loadSecret("secret", file);
--- a/src/core/settings_func.h
+++ b/src/core/settings_func.h
@@ -38,7 +38,7 @@
 [[nodiscard]] SettingsOutcome loadSettings(int &argc, char **&argv, const std::vector<SettingCheck> &checks,
     const std::vector<std::string_view> &otherVariables = {});
 /** Adds a fault for each word in @p argv that is no flag; for binaries that take flags only. */
-void refuseWords(SettingsOutcome &outcome, int argc, char **argv);
+void rejectPositionalArguments(SettingsOutcome &outcome, int argc, char **argv);
 /** Prints help to stdout or faults to stderr; gives the exit code 0 or 2, or nothing where the daemon should go on. */
 [[nodiscard]] std::optional<int> reportSettings(const SettingsOutcome &outcome);
 /** The `--help` text, grouped. */
@@ -51,7 +51,7 @@
 [[nodiscard]] Result<std::string> loadSecret(std::string_view name, const std::string &fileFlagValue);
 
 /** What a daemon begins with. */
-struct DaemonStart
+struct DaemonSettings
 {
     std::optional<int> exitCode; ///< Set where it must end at once: after help, or on faults, which were printed.
     std::string secret; ///< The fleet's secret.
@@ -59,7 +59,7 @@
 
 /** Loads a daemon's settings and the fleet's secret, from the file that the flag `secret_file` names or from
  *  CHESTNUTHOOK_SECRET; refuses words; prints help, version or all faults at once. */
-[[nodiscard]] DaemonStart startDaemon(int argc, char **argv, const std::vector<SettingCheck> &checks);
+[[nodiscard]] DaemonSettings loadDaemonSettings(int argc, char **argv, const std::vector<SettingCheck> &checks);
 
 /** `ip:port` with an IPv4 address or `[IPv6]`; port 0 only where @p portZero (the system chooses). */
 [[nodiscard]] SettingCheckFunction addressCheck(bool portZero = false);
--- a/src/entry/entry_daemon_base.cpp
+++ b/src/entry/entry_daemon_base.cpp
@@ -63,11 +63,12 @@
 {
     using Daemon = EntryDaemon;
     return {
-        childRow("endpoint-list", *this, &Daemon::startListPoll, &Daemon::stopListPoll),
-        childRow("fleet", *this, &Daemon::startFleet, &Daemon::stopFleet),
-        childRow("programs", *this, &Daemon::startPrograms, &Daemon::stopPrograms, &Daemon::programsReady),
-        childRow("peers", *this, &Daemon::startPeers),
-        childRow("callers", *this, &Daemon::startCallers),
+        makeChildSpecification("endpoint-list", *this, &Daemon::startListPoll, &Daemon::stopListPoll),
+        makeChildSpecification("fleet", *this, &Daemon::startFleet, &Daemon::stopFleet),
+        makeChildSpecification(
+            "programs", *this, &Daemon::startPrograms, &Daemon::stopPrograms, &Daemon::programsReady),
+        makeChildSpecification("peers", *this, &Daemon::startPeers),
+        makeChildSpecification("callers", *this, &Daemon::startCallers),
     };
 }
 
--- a/src/entry/main.cpp
+++ b/src/entry/main.cpp
@@ -75,7 +75,7 @@
 
 int main(int argc, char **argv)
 {
-    const DaemonStart start = startDaemon(argc, argv, withFleetSecurity(Settings));
+    const DaemonSettings start = loadDaemonSettings(argc, argv, withFleetSecurity(Settings));
     if (start.exitCode) {
         return *start.exitCode;
     }
--- a/src/supervisor/child_type.h
+++ b/src/supervisor/child_type.h
@@ -53,8 +53,8 @@
 
 /** A row whose functions are members of @p owner, which outlives the supervisor; `stop` and `ready` may be null. */
 template<typename Owner>
-[[nodiscard]] ChildSpecification childRow(std::string_view name, Owner &owner, Result<void> (Owner::*start)(),
-    void (Owner::*stop)() = nullptr, Result<void> (Owner::*ready)() const = nullptr)
+[[nodiscard]] ChildSpecification makeChildSpecification(std::string_view name, Owner &owner,
+    Result<void> (Owner::*start)(), void (Owner::*stop)() = nullptr, Result<void> (Owner::*ready)() const = nullptr)
 {
     ChildSpecification row;
     row.name = name;
--- a/src/timeline/main.cpp
+++ b/src/timeline/main.cpp
@@ -87,7 +87,7 @@
 int main(int argc, char **argv)
 {
     SettingsOutcome outcome = loadSettings(argc, argv, Settings, {"CHESTNUTHOOK_SECRET"});
-    refuseWords(outcome, argc, argv);
+    rejectPositionalArguments(outcome, argc, argv);
     if (const auto code = reportSettings(outcome)) {
         return *code;
     }
--- a/tests/unit/settings_test.cpp
+++ b/tests/unit/settings_test.cpp
@@ -198,7 +198,7 @@
 {
     Line line({"--worker_count=3", "start", "now"});
     BOOST_TEST(line.outcome.faults.empty());
-    refuseWords(line.outcome, 3, line.pointers.data());
+    rejectPositionalArguments(line.outcome, 3, line.pointers.data());
     BOOST_REQUIRE_EQUAL(line.outcome.faults.size(), 2U);
     BOOST_TEST(line.outcome.faults[1].what.find("unexpected word 'now'") == 0U);
 }
--- a/tests/unit/supervisor_test.cpp
+++ b/tests/unit/supervisor_test.cpp
@@ -240,7 +240,8 @@
     Part part;
     VirtualTimer timers;
     Supervisor root("root", RestartStrategy::OneForOne, {}, timers,
-        {childRow("whole", part, &Part::begin, &Part::end, &Part::isReady), childRow("bare", part, &Part::begin)});
+        {makeChildSpecification("whole", part, &Part::begin, &Part::end, &Part::isReady),
+            makeChildSpecification("bare", part, &Part::begin)});
     BOOST_REQUIRE(root.start().has_value());
     BOOST_TEST(part.running);
     BOOST_TEST(root.ready().error().what.find("warming up") != std::string::npos);
