--- a/src/supervisor/child_type.h
+++ b/src/supervisor/child_type.h
@@ -1,4 +1,4 @@
-/** @file child_type.h  Specification and state of a supervised part. */
+/** @file child_type.h  Specification and state of a supervised component. */
 #pragma once
 
 #include <array>
@@ -15,20 +15,20 @@
 namespace Chestnuthook
 {
 
-/** When a child is started again. */
+/** When a supervisor restarts a child. */
 enum class RestartPolicy : std::uint8_t {
     Permanent, ///< Always.
-    Transient, ///< After a failure, not after a normal end.
+    Transient, ///< After a failure, but not after a normal end.
     Temporary, ///< Never.
 };
 
-/** Which children are started again with one that failed. */
+/** Which children are restarted when one of them fails. */
 enum class RestartStrategy : std::uint8_t {
-    OneForOne, ///< That one only.
-    RestForOne, ///< That one and all after it in the table.
+    OneForOne, ///< Only the failed child.
+    RestForOne, ///< The failed child and all that come after it in the table.
 };
 
-/** Where a child is in its life. */
+/** Lifecycle phase of a child. */
 enum class ChildPhase : std::uint8_t { Stopped, Running, Restarting, Failed, Ended };
 
 template<>
@@ -40,48 +40,49 @@
 };
 static_assert(isNameTableWhole(ChildPhase::Ended));
 
-/** One row of a supervisor's table. All functions run on the control thread. */
+/** How a supervisor runs one of its children. All functions are called on the control thread. */
 struct ChildSpecification
 {
-    std::string_view name; ///< Unique in its table; must outlive the supervisor.
-    RestartPolicy restart = RestartPolicy::Permanent; ///< When it is started again.
-    std::chrono::milliseconds stopTimeout{0}; ///< A stop that takes longer is logged; 0 for no bound.
-    std::function<Result<void>()> start; ///< Starts it; an error leaves nothing running.
-    std::function<void()> stop; ///< Stops it; harmless where it isn't running. May be empty.
-    std::function<Result<void>()> ready; ///< An error says why it isn't ready. May be empty: ready while it runs.
+    std::string_view name; ///< Unique within its supervisor; must outlive it.
+    RestartPolicy restart = RestartPolicy::Permanent; ///< When the child is restarted.
+    std::chrono::milliseconds stopTimeout{0}; ///< A stop that takes longer is logged as a failure; 0 for no limit.
+    std::function<Result<void>()> start; ///< Starts the child; leaves nothing running if it returns an error.
+    std::function<void()> stop; ///< Stops the child; has no effect if it isn't running. May be empty.
+    std::function<Result<void>()> ready; ///< Fails with the reason if not ready. Empty: ready while running.
 };
 
-/** A row whose functions are members of @p owner, which outlives the supervisor; `stop` and `ready` may be null. */
+/** Makes a specification whose functions are members of @p owner, which must outlive the supervisor.
+ *  @p stop and @p ready may be null. */
 template<typename Owner>
 [[nodiscard]] ChildSpecification makeChildSpecification(std::string_view name, Owner &owner,
     Result<void> (Owner::*start)(), void (Owner::*stop)() = nullptr, Result<void> (Owner::*ready)() const = nullptr)
 {
-    ChildSpecification row;
-    row.name = name;
-    row.start = [&owner, start]() {
+    ChildSpecification specification;
+    specification.name = name;
+    specification.start = [&owner, start]() {
         return (owner.*start)();
     };
     if (stop != nullptr) {
-        row.stop = [&owner, stop]() {
+        specification.stop = [&owner, stop]() {
             (owner.*stop)();
         };
     }
     if (ready != nullptr) {
-        row.ready = [&owner, ready]() {
+        specification.ready = [&owner, ready]() {
             return (owner.*ready)();
         };
     }
-    return row;
+    return specification;
 }
 
-/** What /readyz shows of a child. */
+/** State of a child as shown by /readyz. */
 struct ChildState
 {
-    std::string name; ///< Path of names from the root's child on, with `/` between.
-    ChildPhase phase = ChildPhase::Stopped; ///< Where it is in its life.
-    bool ready = false; ///< Runs and says that it is ready.
-    std::uint64_t restarts = 0; ///< Times that it was started again.
-    std::optional<Error> error; ///< The last failure, or why it isn't ready.
+    std::string name; ///< Path of names below the root supervisor, separated by `/`.
+    ChildPhase phase = ChildPhase::Stopped; ///< Current lifecycle phase.
+    bool ready = false; ///< Whether the child runs and its readiness check succeeds.
+    std::uint64_t restarts = 0; ///< Number of restarts.
+    std::optional<Error> error; ///< The last failure, or the reason why the child isn't ready.
 };
 
 } // namespace Chestnuthook
--- a/src/supervisor/supervisor_base.cpp
+++ b/src/supervisor/supervisor_base.cpp
@@ -111,7 +111,7 @@
         return;
     }
     if (child->specification.restart == RestartPolicy::Permanent) {
-        this->childFailed(name, Error{ErrorKind::Internal, "a permanent child ended", Ran::No, 0});
+        this->childFailed(name, Error{ErrorKind::Internal, "permanent child ended", Ran::No, 0});
         return;
     }
     child->phase = ChildPhase::Ended;
@@ -187,13 +187,13 @@
 
 Result<void> Supervisor::startChild(Child &child)
 {
-    // Set first, so that a child may report its failure from within its start.
+    // Set before the call, so that a child can report a failure from within its start function.
     child.phase = ChildPhase::Running;
     Result<void> started;
     try {
         started = child.specification.start();
     } catch (const std::exception &exception) {
-        started = fail(ErrorKind::Internal, std::string("the start threw: ") + exception.what());
+        started = fail(ErrorKind::Internal, std::string("start threw an exception: ") + exception.what());
     }
     const std::string childName(child.specification.name);
     if (!started) {
@@ -212,7 +212,7 @@
 void Supervisor::stopChild(Child &child)
 {
     child.restartTimer.cancel();
-    // A failed or ended child may still hold parts of itself; only one that never started has none.
+    // Failed and ended children may still hold resources, so they are stopped as well.
     if (child.phase == ChildPhase::Stopped) {
         return;
     }
@@ -225,12 +225,12 @@
     try {
         child.specification.stop();
     } catch (const std::exception &exception) {
-        fault = std::string("the stop threw: ") + exception.what();
+        fault = std::string("stop threw an exception: ") + exception.what();
     }
-    const Duration taken = this->timers.now() - begin;
-    const Duration bound = child.specification.stopTimeout;
-    if (fault.empty() && bound > Duration::zero() && taken > bound) {
-        fault = "the stop took " + std::to_string(taken.count()) + " us, over its bound";
+    const Duration elapsed = this->timers.now() - begin;
+    const Duration timeout = child.specification.stopTimeout;
+    if (fault.empty() && timeout > Duration::zero() && elapsed > timeout) {
+        fault = "stop took " + std::to_string(elapsed.count()) + " us, longer than its timeout";
     }
     if (!fault.empty()) {
         logEvent(EventKind::ChildFailed,
@@ -247,7 +247,7 @@
     Child &child = this->children[index];
     child.phase = ChildPhase::Restarting;
     if (this->restartTimes.size() >= this->intensity.maxRestarts) {
-        // From a timer too, as the failed child may stand further up on the stack.
+        // Deferred to a timer callback as well, since the failed child may be further up on the call stack.
         this->giveUpTimer = this->timers.after(Duration::zero(), [this, error] {
             this->giveUp(error);
         });
@@ -262,24 +262,24 @@
 void Supervisor::restart(std::size_t index)
 {
     const std::size_t end = this->strategy == RestartStrategy::RestForOne ? this->children.size() : index + 1;
-    std::vector<std::size_t> again;
+    std::vector<std::size_t> toRestart;
     for (std::size_t i = end; i-- > index;) {
         Child &child = this->children[i];
-        const bool wanted = i == index || child.phase == ChildPhase::Running || child.phase == ChildPhase::Restarting
-            || child.phase == ChildPhase::Stopped;
-        if (wanted) {
+        const bool needsRestart = i == index || child.phase == ChildPhase::Running
+            || child.phase == ChildPhase::Restarting || child.phase == ChildPhase::Stopped;
+        if (needsRestart) {
             this->stopChild(child);
-            again.push_back(i);
+            toRestart.push_back(i);
         }
     }
-    std::reverse(again.begin(), again.end());
-    for (const std::size_t i : again) {
+    std::reverse(toRestart.begin(), toRestart.end());
+    for (const std::size_t i : toRestart) {
         Child &child = this->children[i];
         ++child.restarts;
         if (Result<void> started = this->startChild(child); !started) {
-            // Those after it stay stopped under RestForOne; its own restart takes them along.
+            // Under RestForOne the later children stay stopped; the next restart of this child includes them.
             if (child.specification.restart != RestartPolicy::Temporary) {
-                this->scheduleRestart(i, started.error(), this->intensity.pause);
+                this->scheduleRestart(i, started.error(), this->intensity.restartRetryDelay);
                 return;
             }
             continue;
--- a/src/supervisor/supervisor_base.h
+++ b/src/supervisor/supervisor_base.h
@@ -1,4 +1,4 @@
-/** @file supervisor_base.h  Starts, restarts and stops a table of children; gives up over its restart intensity. */
+/** @file supervisor_base.h  Supervisor that starts, restarts and stops a table of children. */
 #pragma once
 
 #include <cstddef>
@@ -15,16 +15,17 @@
 namespace Chestnuthook
 {
 
-/** How many restarts are borne before the supervisor gives up. */
+/** How many restarts a supervisor makes before it gives up. */
 struct RestartIntensity
 {
-    std::size_t maxRestarts = 3; ///< Restarts borne within `period`.
-    Duration period = std::chrono::seconds(10); ///< The span that is looked at.
-    Duration pause = std::chrono::milliseconds(100); ///< Wait before a child is tried again whose restart failed.
+    std::size_t maxRestarts = 3; ///< Restarts allowed within `period`.
+    Duration period = std::chrono::seconds(10); ///< Sliding window in which restarts are counted.
+    Duration restartRetryDelay = std::chrono::milliseconds(100); ///< Delay before a failed restart is retried.
 };
 
-/** A node of the supervisor tree; lives on the control thread. Restarts are run by the timer service, never from
- *  within childFailed, so a child may report its own failure. */
+/** A node of the supervision tree; used on the control thread only. It gives up, i.e. stops all children, when they
+ *  exceed its restart intensity. Restarts run in timer callbacks and never within childFailed, so a child may report
+ *  its own failure. */
 class Supervisor
 {
 public:
@@ -34,38 +35,38 @@
     Supervisor &operator=(const Supervisor &) = delete;
     ~Supervisor();
 
-    /** Adds a row to the end of the table; before start. */
+    /** Adds a child at the end of the table; only allowed before start. */
     void addChild(ChildSpecification specification);
-    /** Adds @p nested, which outlives this one; when it gives up, that is its failure here. */
+    /** Adds @p nested, which must outlive this supervisor, as a child that fails when it gives up. */
     void addSupervisor(Supervisor &nested, RestartPolicy restart = RestartPolicy::Permanent);
-    /** Called when this one has given up and stopped all its children. */
+    /** Sets the function that is called after this supervisor has given up and stopped all its children. */
     void onGiveUp(std::function<void(const Error &)> action);
 
-    /** Starts the children in order; on an error stops those started and returns it. */
+    /** Starts the children in the order of the table; on an error stops those already started and returns the error. */
     [[nodiscard]] Result<void> start();
     /** Stops the children in reverse order. */
     void stop();
-    /** A child has failed; unknown names and children that don't run are ignored. */
+    /** Reports that a child has failed; ignored if the name is unknown or the child isn't running. */
     void childFailed(std::string_view name, const Error &error);
-    /** A child has ended as it should. */
+    /** Reports that a child has ended normally; ignored if the name is unknown or the child isn't running. */
     void childEnded(std::string_view name);
 
     [[nodiscard]] const std::string &name() const;
     [[nodiscard]] bool gaveUp() const;
-    /** Whether all children run and are ready; else the first that isn't and why. Ended children don't count. */
+    /** Succeeds if all children but ended ones are ready, else fails with the first that isn't and the reason. */
     [[nodiscard]] Result<void> ready() const;
-    /** States of all children, nested ones after their supervisor. */
+    /** States of all children; those of a nested supervisor follow it. */
     [[nodiscard]] std::vector<ChildState> states() const;
 
 private:
     struct Child
     {
-        ChildSpecification specification; ///< Its row.
-        Supervisor *nested = nullptr; ///< Set where the child is a supervisor.
-        ChildPhase phase = ChildPhase::Stopped; ///< Where it is in its life.
-        std::uint64_t restarts = 0; ///< Times that it was started again.
+        ChildSpecification specification; ///< How to run the child.
+        Supervisor *nested = nullptr; ///< Set if the child is a supervisor, else null.
+        ChildPhase phase = ChildPhase::Stopped; ///< Current lifecycle phase.
+        std::uint64_t restarts = 0; ///< Number of restarts.
         std::optional<Error> error; ///< The last failure.
-        TimerSubscription restartTimer; ///< Active while it waits for its restart.
+        TimerSubscription restartTimer; ///< Active while a restart is pending.
     };
 
     Child *find(std::string_view name);
@@ -76,15 +77,15 @@
     void giveUp(const Error &error);
 
     const std::string label; ///< Name of this supervisor.
-    const RestartStrategy strategy; ///< Which children restart together.
-    const RestartIntensity intensity; ///< When to give up.
-    TimerService &timers; ///< Outlives this.
+    const RestartStrategy strategy; ///< Which children are restarted together.
+    const RestartIntensity intensity; ///< Limit of restarts above which the supervisor gives up.
+    TimerService &timers; ///< Must outlive the supervisor.
     std::vector<Child> children; ///< In start order; fixed once started.
-    std::deque<Instant> restartTimes; ///< Restarts within the period, oldest first.
-    std::function<void(const Error &)> giveUpAction; ///< May be empty.
-    TimerSubscription giveUpTimer; ///< Active once the intensity is exceeded, until this has stopped.
+    std::deque<Instant> restartTimes; ///< Times of the restarts within the period, oldest first.
+    std::function<void(const Error &)> giveUpAction; ///< Called after giving up; may be empty.
+    TimerSubscription giveUpTimer; ///< Active from exceeding the intensity until the supervisor stops.
     bool running = false; ///< Between start and stop.
-    bool hasGivenUp = false; ///< Until the next start.
+    bool hasGivenUp = false; ///< Set by giving up, cleared by the next start.
 };
 
 } // namespace Chestnuthook
--- a/tests/unit/supervisor_test.cpp
+++ b/tests/unit/supervisor_test.cpp
@@ -1,4 +1,4 @@
-/** @file supervisor_test.cpp  Supervision under virtual time. */
+/** @file supervisor_test.cpp  Tests of supervisors, under virtual time. */
 #define BOOST_TEST_MODULE supervisor
 #include <boost/test/unit_test.hpp>
 
@@ -15,13 +15,13 @@
 
 const Error Fault{ErrorKind::Internal, "boom", Ran::No, 0};
 
-/** Children that write their starts (a, b, …) and stops (A, B, …) into one text. */
+/** Children that append their starts (a, b, …) and stops (A, B, …) to a trace. */
 struct Fixture
 {
-    VirtualTimer timers; ///< Virtual time.
-    std::string trace; ///< What happened.
-    int failingStarts = 0; ///< Starts of `b` that fail from now on.
-    bool ready = true; ///< Whether `b` says that it is ready.
+    VirtualTimer timers; ///< Timer service of the supervisors.
+    std::string trace; ///< Starts and stops in order; `!` is a failed start.
+    int failingStarts = 0; ///< How many of the next starts of `b` fail.
+    bool ready = true; ///< Whether `b` is ready.
 
     ChildSpecification child(std::string_view name, RestartPolicy policy = RestartPolicy::Permanent)
     {
@@ -50,7 +50,7 @@
         }
         return specification;
     }
-    std::vector<ChildSpecification> three()
+    std::vector<ChildSpecification> threeChildren()
     {
         return {this->child("a"), this->child("b"), this->child("c")};
     }
@@ -62,7 +62,7 @@
 
 BOOST_AUTO_TEST_CASE(startsInOrderAndStopsInReverse)
 {
-    Supervisor tree("root", RestartStrategy::OneForOne, {}, timers, three());
+    Supervisor tree("root", RestartStrategy::OneForOne, {}, timers, threeChildren());
     BOOST_TEST(!tree.ready().has_value());
     BOOST_TEST(tree.start().has_value());
     BOOST_TEST(tree.ready().has_value());
@@ -71,10 +71,10 @@
     BOOST_TEST(trace == "abcCBA");
 }
 
-BOOST_AUTO_TEST_CASE(aFailedStartStopsThoseBefore)
+BOOST_AUTO_TEST_CASE(failedStartStopsEarlierChildren)
 {
     failingStarts = 1;
-    Supervisor tree("root", RestartStrategy::OneForOne, {}, timers, three());
+    Supervisor tree("root", RestartStrategy::OneForOne, {}, timers, threeChildren());
     const Result<void> started = tree.start();
     BOOST_REQUIRE(!started.has_value());
     BOOST_TEST(started.error().what == "no start");
@@ -84,9 +84,9 @@
     BOOST_TEST((tree.states()[1].phase == ChildPhase::Failed));
 }
 
-BOOST_AUTO_TEST_CASE(oneForOneRestartsThatOne)
+BOOST_AUTO_TEST_CASE(oneForOneRestartsOnlyTheFailedChild)
 {
-    Supervisor tree("root", RestartStrategy::OneForOne, {}, timers, three());
+    Supervisor tree("root", RestartStrategy::OneForOne, {}, timers, threeChildren());
     BOOST_TEST(tree.start().has_value());
     trace.clear();
     tree.childFailed("b", Fault);
@@ -100,9 +100,9 @@
     BOOST_TEST(tree.ready().has_value());
 }
 
-BOOST_AUTO_TEST_CASE(restForOneRestartsThoseAfterToo)
+BOOST_AUTO_TEST_CASE(restForOneRestartsLaterChildren)
 {
-    Supervisor tree("root", RestartStrategy::RestForOne, {}, timers, three());
+    Supervisor tree("root", RestartStrategy::RestForOne, {}, timers, threeChildren());
     BOOST_TEST(tree.start().has_value());
     trace.clear();
     tree.childFailed("b", Fault);
@@ -110,9 +110,9 @@
     BOOST_TEST(trace == "CBbc");
 }
 
-BOOST_AUTO_TEST_CASE(aFailedRestartIsTriedAgainAfterAPause)
+BOOST_AUTO_TEST_CASE(failedRestartIsRetriedAfterDelay)
 {
-    Supervisor tree("root", RestartStrategy::RestForOne, {}, timers, three());
+    Supervisor tree("root", RestartStrategy::RestForOne, {}, timers, threeChildren());
     BOOST_TEST(tree.start().has_value());
     trace.clear();
     failingStarts = 1;
@@ -124,9 +124,9 @@
     BOOST_TEST(tree.ready().has_value());
 }
 
-BOOST_AUTO_TEST_CASE(givesUpOverTheIntensity)
+BOOST_AUTO_TEST_CASE(givesUpAboveRestartIntensity)
 {
-    Supervisor tree("root", RestartStrategy::OneForOne, {2, 10s, 100ms}, timers, three());
+    Supervisor tree("root", RestartStrategy::OneForOne, {2, 10s, 100ms}, timers, threeChildren());
     std::string gaveUp;
     tree.onGiveUp([&](const Error &error) {
         gaveUp = error.what;
@@ -152,9 +152,9 @@
     BOOST_TEST(trace == "CBA");
 }
 
-BOOST_AUTO_TEST_CASE(anotherChildsRestartDoesNotHideTheGivingUp)
+BOOST_AUTO_TEST_CASE(pendingRestartDoesNotPreventGivingUp)
 {
-    Supervisor tree("root", RestartStrategy::RestForOne, {1, 10s, 100ms}, timers, three());
+    Supervisor tree("root", RestartStrategy::RestForOne, {1, 10s, 100ms}, timers, threeChildren());
     BOOST_TEST(tree.start().has_value());
     tree.childFailed("a", Fault);
     tree.childFailed("c", Fault);
@@ -162,7 +162,7 @@
     BOOST_TEST(tree.gaveUp());
 }
 
-BOOST_AUTO_TEST_CASE(policiesDecideOnRestarts)
+BOOST_AUTO_TEST_CASE(restartPoliciesAreRespected)
 {
     Supervisor tree("root", RestartStrategy::OneForOne, {}, timers,
         {child("a", RestartPolicy::Temporary), child("b", RestartPolicy::Transient), child("c")});
@@ -177,7 +177,7 @@
     BOOST_TEST((tree.states()[1].phase == ChildPhase::Ended));
 }
 
-BOOST_AUTO_TEST_CASE(aNestedSupervisorThatGivesUpIsRestartedByItsParent)
+BOOST_AUTO_TEST_CASE(parentRestartsNestedSupervisorThatGaveUp)
 {
     Supervisor inner("inner", RestartStrategy::OneForOne, {0, 10s, 100ms}, timers, {child("b")});
     Supervisor outer("outer", RestartStrategy::OneForOne, {}, timers, {child("a")});
@@ -195,16 +195,16 @@
     BOOST_TEST(states[1].restarts == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(readinessNamesTheChildThatIsNotReady)
+BOOST_AUTO_TEST_CASE(readinessErrorNamesTheChild)
 {
-    Supervisor tree("root", RestartStrategy::OneForOne, {}, timers, three());
+    Supervisor tree("root", RestartStrategy::OneForOne, {}, timers, threeChildren());
     BOOST_TEST(tree.start().has_value());
     ready = false;
     BOOST_TEST(tree.ready().error().what == "b: warming");
     BOOST_TEST(!tree.states()[1].ready);
 }
 
-BOOST_AUTO_TEST_CASE(aStartThatThrowsIsAFailure)
+BOOST_AUTO_TEST_CASE(throwingStartIsAFailure)
 {
     ChildSpecification throwing = child("a");
     throwing.start = []() -> Result<void> {
@@ -218,7 +218,7 @@
 
 BOOST_AUTO_TEST_SUITE_END()
 
-BOOST_AUTO_TEST_CASE(aRowOfMembersCallsThem)
+BOOST_AUTO_TEST_CASE(memberFunctionsAreCalled)
 {
     struct Part
     {
