--- a/src/table/error_table.cpp
+++ b/src/table/error_table.cpp
@@ -1,4 +1,4 @@
-/** @file error_table.cpp  The table of errors. */
+/** @file error_table.cpp  Table of the kinds of errors. */
 #include "table/error_table.h"
 
 #include <cstddef>
@@ -63,7 +63,7 @@
     {Kind::Internal, "internal", 500, 1, "a fault in chestnuthook", "report it with the log lines around it"},
 });
 
-constexpr bool isWhole()
+constexpr bool isTableComplete()
 {
     for (std::size_t i = 0; i < ErrorRows.size(); ++i) {
         const ErrorRow &row = ErrorRows[i];
@@ -78,7 +78,7 @@
     }
     return ErrorRows.size() == static_cast<std::size_t>(ErrorKind::Internal) + 1;
 }
-static_assert(isWhole(), "each ErrorKind has one row, in order, with a code of its own");
+static_assert(isTableComplete(), "each ErrorKind needs one row, in enumerator order and with a unique code");
 
 } // namespace
 
--- a/src/table/error_table.h
+++ b/src/table/error_table.h
@@ -12,15 +12,15 @@
 namespace Chestnuthook
 {
 
-/** What callers and operators see of an ErrorKind. */
+/** How an ErrorKind is reported to clients and operators. */
 struct ErrorRow
 {
-    ErrorKind kind; ///< The kind; rows stand in the order of the enumerators.
-    std::string_view code; ///< Stable text for programs.
-    int httpStatus; ///< Status of the answer.
-    int exitCode; ///< Exit code of a process that ends of it.
+    ErrorKind kind; ///< The kind; rows are in the order of the enumerators.
+    std::string_view code; ///< Stable machine-readable code.
+    int httpStatus; ///< Status of the HTTP response.
+    int exitCode; ///< Exit code of a process that ends because of the error.
     std::string_view message; ///< What went wrong.
-    std::string_view remedy; ///< What to do about it.
+    std::string_view remedy; ///< What the client or operator should do.
 };
 
 template<>
@@ -32,9 +32,9 @@
 static_assert(isNameTableWhole(Ran::Unknown));
 
 [[nodiscard]] const ErrorRow &errorRow(ErrorKind kind);
-/** The kind with this code; empty where there is none. */
+/** The kind whose code is @p code; empty if there is none. */
 [[nodiscard]] std::optional<ErrorKind> errorKindOf(std::string_view code);
-/** `code: message: what; remedy: …`. */
+/** Formats @p error as `code: message: what; remedy: …`. */
 [[nodiscard]] std::string errorText(const Error &error);
 
 } // namespace Chestnuthook
--- a/src/table/event_table.cpp
+++ b/src/table/event_table.cpp
@@ -1,4 +1,4 @@
-/** @file event_table.cpp  The table of events. */
+/** @file event_table.cpp  Table of the severity of each kind of event. */
 #include "table/event_table.h"
 
 #include <array>
@@ -10,11 +10,11 @@
 namespace
 {
 
-/** Level of a kind of event. */
+/** Severity of a kind of event. */
 struct EventRow
 {
-    EventKind kind; ///< The kind; rows stand in the order of the enumerators.
-    EventLevel level; ///< How much it matters.
+    EventKind kind; ///< The kind; rows are in the order of the enumerators.
+    EventLevel level; ///< Its severity.
 };
 
 constexpr auto EventRows = std::to_array<EventRow>({
@@ -60,7 +60,7 @@
     {EventKind::SnapshotTaken, EventLevel::Info},
 });
 
-constexpr bool isWhole()
+constexpr bool isTableComplete()
 {
     for (std::size_t i = 0; i < EventRows.size(); ++i) {
         if (static_cast<std::size_t>(EventRows[i].kind) != i) {
@@ -69,9 +69,9 @@
     }
     return EventRows.size() == static_cast<std::size_t>(EventKind::SnapshotTaken) + 1;
 }
-static_assert(isWhole(), "each EventKind has one row, in order");
+static_assert(isTableComplete(), "each EventKind needs one row, in enumerator order");
 
-const EventRow &rowOf(EventKind kind)
+const EventRow &eventRow(EventKind kind)
 {
     return EventRows.at(static_cast<std::size_t>(kind));
 }
@@ -80,7 +80,7 @@
 
 EventLevel eventLevel(EventKind kind)
 {
-    return rowOf(kind).level;
+    return eventRow(kind).level;
 }
 
 } // namespace Chestnuthook
--- a/src/table/event_table.h
+++ b/src/table/event_table.h
@@ -10,7 +10,7 @@
 namespace Chestnuthook
 {
 
-/** What an event says; its name stands in logs and time lines. */
+/** Kinds of events; their names appear in logs and timelines. */
 enum class EventKind : std::uint8_t {
     ProcessStarted,
     ProcessStopping,
@@ -54,15 +54,15 @@
     SnapshotTaken,
 };
 
-/** How much an event matters. */
+/** Severity of an event. */
 enum class EventLevel : std::uint8_t {
-    Debug, ///< One of many; in the ring always, in the log only on demand.
+    Debug, ///< A frequent event: always in the event ring, logged only on demand.
     Info, ///< A change of state.
-    Warning, ///< A fault that was dealt with.
-    Error, ///< A fault that needs a person.
+    Warning, ///< A fault that was handled.
+    Error, ///< A fault that needs an operator.
 };
 
-/** The level of @p kind. */
+/** Severity of @p kind. */
 [[nodiscard]] EventLevel eventLevel(EventKind kind);
 
 template<>
--- a/src/table/metric_table.cpp
+++ b/src/table/metric_table.cpp
@@ -1,4 +1,4 @@
-/** @file metric_table.cpp  The table of metrics. */
+/** @file metric_table.cpp  Table of the kinds of metrics. */
 #include "table/metric_table.h"
 
 #include <array>
@@ -52,7 +52,7 @@
         "Strikes against requests that crash endpoints."},
 });
 
-constexpr bool isWhole()
+constexpr bool isTableComplete()
 {
     for (std::size_t i = 0; i < MetricRows.size(); ++i) {
         if (static_cast<std::size_t>(MetricRows[i].kind) != i) {
@@ -61,7 +61,7 @@
     }
     return MetricRows.size() == MetricCount;
 }
-static_assert(isWhole(), "each MetricKind has one row, in order");
+static_assert(isTableComplete(), "each MetricKind needs one row, in enumerator order");
 
 } // namespace
 
--- a/src/table/metric_table.h
+++ b/src/table/metric_table.h
@@ -1,4 +1,4 @@
-/** @file metric_table.h  Kinds of metrics with names, types, labels and help texts. */
+/** @file metric_table.h  Kinds of metrics with their names, types, labels and help texts. */
 #pragma once
 
 #include <cstddef>
@@ -8,7 +8,7 @@
 namespace Chestnuthook
 {
 
-/** All metrics of all daemons; durations are histograms in milliseconds. */
+/** Metrics of all daemons; durations are histograms in milliseconds. */
 enum class MetricKind : std::uint8_t {
     RequestsTotal,
     RequestsRefused,
@@ -35,17 +35,17 @@
 };
 inline constexpr std::size_t MetricCount = static_cast<std::size_t>(MetricKind::StrikesTotal) + 1;
 
-/** How a metric is counted. */
+/** Type of a metric, as in the Prometheus text format. */
 enum class MetricType : std::uint8_t { Counter, Gauge, Histogram };
 
-/** One row of the table of metrics. */
+/** Definition of a metric. */
 struct MetricRow
 {
-    MetricKind kind; ///< The kind; rows stand in the order of the enumerators.
+    MetricKind kind; ///< The kind; rows are in the order of the enumerators.
     std::string_view name; ///< Name in /metrics.
-    MetricType type; ///< How it is counted.
-    std::string_view label; ///< Name of the optional label; empty where it takes none.
-    std::string_view help; ///< One line for people.
+    MetricType type; ///< Type of the metric.
+    std::string_view label; ///< Name of the only label; empty if the metric has no label.
+    std::string_view help; ///< Help text of one line.
 };
 
 [[nodiscard]] const MetricRow &metricRow(MetricKind kind);
--- a/tests/unit/error_table_test.cpp
+++ b/tests/unit/error_table_test.cpp
@@ -1,4 +1,4 @@
-/** @file error_table_test.cpp  The table of errors. */
+/** @file error_table_test.cpp  Tests of the error table. */
 #define BOOST_TEST_MODULE error_table
 #include <boost/test/unit_test.hpp>
 
@@ -8,7 +8,7 @@
 
 using namespace Chestnuthook;
 
-BOOST_AUTO_TEST_CASE(everyCodeIsReadBack)
+BOOST_AUTO_TEST_CASE(errorCodesRoundTrip)
 {
     for (int i = 0; i <= static_cast<int>(ErrorKind::Internal); ++i) {
         const auto kind = static_cast<ErrorKind>(i);
@@ -18,7 +18,7 @@
     BOOST_TEST(!errorKindOf("no_such_code").has_value());
 }
 
-BOOST_AUTO_TEST_CASE(statusesAndExitCodesAreThosePromised)
+BOOST_AUTO_TEST_CASE(httpStatusesAndExitCodesAreStable)
 {
     const std::pair<ErrorKind, int> statuses[] = {{ErrorKind::BadRequest, 400}, {ErrorKind::UnknownKey, 401},
         {ErrorKind::BudgetSpent, 402}, {ErrorKind::ForeignProgram, 403}, {ErrorKind::NotFound, 404},
@@ -38,7 +38,7 @@
     BOOST_TEST(errorRow(ErrorKind::Internal).exitCode == 1);
 }
 
-BOOST_AUTO_TEST_CASE(textNamesCodeMessageParticularsAndRemedy)
+BOOST_AUTO_TEST_CASE(errorTextHasCodeMessageDetailsAndRemedy)
 {
     BOOST_TEST(errorText(Error{ErrorKind::ProgramEnded, "p1", Ran::No, 0})
         == "program_ended: the program has ended: p1; remedy: create a new program");
