--- a/src/core/file_func.cpp
+++ b/src/core/file_func.cpp
@@ -1,4 +1,4 @@
-/** @file file_func.cpp  Errors and syncs of files. */
+/** @file file_func.cpp  Error and sync helpers for files. */
 #include "core/file_func.h"
 
 #include <cerrno>
@@ -10,17 +10,17 @@
 namespace Chestnuthook
 {
 
-tl::unexpected<Error> failErrno(const std::string &doing)
+tl::unexpected<Error> failErrno(const std::string &operation)
 {
-    return fail(ErrorKind::StorageFailed, doing + ": " + std::strerror(errno));
+    return fail(ErrorKind::StorageFailed, operation + ": " + std::strerror(errno));
 }
 
 Result<void> syncFolder(const std::string &folder)
 {
-    const int opened = ::open(folder.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC);
-    const bool synced = opened >= 0 && ::fsync(opened) == 0;
-    if (opened >= 0) {
-        ::close(opened);
+    const int descriptor = ::open(folder.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC);
+    const bool synced = descriptor >= 0 && ::fsync(descriptor) == 0;
+    if (descriptor >= 0) {
+        ::close(descriptor);
     }
     return synced ? Result<void>() : Result<void>(failErrno("syncing " + folder));
 }
--- a/src/core/file_func.h
+++ b/src/core/file_func.h
@@ -1,4 +1,4 @@
-/** @file file_func.h  Errors and syncs of files, shared by all that write into a data folder. */
+/** @file file_func.h  Error and sync helpers for code that writes files in a data folder. */
 #pragma once
 
 #include <string>
@@ -8,13 +8,13 @@
 namespace Chestnuthook
 {
 
-/** Rights of files in a data folder: they belong to its user alone. */
+/** Permissions of files in a data folder: only their owner may read and write them. */
 constexpr int DataFileMode = 0600;
 
-/** StorageFailed with what `errno` says; @p doing names what failed. */
-[[nodiscard]] tl::unexpected<Error> failErrno(const std::string &doing);
+/** Makes a StorageFailed error from `errno`; @p operation names what failed. */
+[[nodiscard]] tl::unexpected<Error> failErrno(const std::string &operation);
 
-/** Makes new, renamed and removed names in @p folder last. Errors: StorageFailed. */
+/** Makes the creation, renaming and removal of files in @p folder durable. Errors: StorageFailed. */
 [[nodiscard]] Result<void> syncFolder(const std::string &folder);
 
 } // namespace Chestnuthook
--- a/src/core/hash_func.cpp
+++ b/src/core/hash_func.cpp
@@ -1,4 +1,4 @@
-/** @file hash_func.cpp  Hashes by xxHash and OpenSSL. */
+/** @file hash_func.cpp  Hashes and random ids, using xxHash and OpenSSL. */
 #include "core/hash_func.h"
 
 #include <array>
@@ -44,7 +44,7 @@
     if (key.size() > static_cast<std::size_t>(std::numeric_limits<int>::max())) {
         throw std::runtime_error("the key for HMAC-SHA-256 is too long");
     }
-    // HMAC takes a null key for "the last one"; an empty key must not be null.
+    // A null key makes HMAC reuse the previous key, so an empty key must not be passed as null.
     const char *const keyData = key.empty() ? "" : key.data();
     std::array<unsigned char, EVP_MAX_MD_SIZE> digest{};
     unsigned int length = 0;
@@ -64,11 +64,11 @@
 std::string randomHex(std::size_t bytes)
 {
     if (bytes > static_cast<std::size_t>(std::numeric_limits<int>::max())) {
-        throw std::runtime_error("too many random bytes asked for");
+        throw std::runtime_error("too many random bytes requested");
     }
     std::string raw(bytes, '\0');
     if (RAND_bytes(reinterpret_cast<unsigned char *>(raw.data()), static_cast<int>(bytes)) != 1) {
-        throw std::runtime_error("OpenSSL has no random bytes");
+        throw std::runtime_error("OpenSSL can't generate random bytes");
     }
     return toHex(raw);
 }
--- a/src/core/hybrid_clock_type.cpp
+++ b/src/core/hybrid_clock_type.cpp
@@ -15,8 +15,8 @@
 
 constexpr std::size_t CounterDigits = 4;
 
-/** The reading right after @p time. */
-HybridTime following(const HybridTime &time)
+/** The smallest timestamp after @p time. */
+HybridTime nextTimestamp(const HybridTime &time)
 {
     if (time.counter >= HybridTime::MaxCounter) {
         return HybridTime{time.wallMs + 1, 0};
@@ -62,14 +62,14 @@
 
 HybridTime HybridClock::tick(std::int64_t wallMs)
 {
-    this->latest = wallMs > this->latest.wallMs ? HybridTime{wallMs, 0} : following(this->latest);
+    this->latest = wallMs > this->latest.wallMs ? HybridTime{wallMs, 0} : nextTimestamp(this->latest);
     return this->latest;
 }
 
 HybridTime HybridClock::observe(const HybridTime &remote, std::int64_t wallMs)
 {
-    const HybridTime seen = std::max(this->latest, remote);
-    this->latest = wallMs > seen.wallMs ? HybridTime{wallMs, 0} : following(seen);
+    const HybridTime latestSeen = std::max(this->latest, remote);
+    this->latest = wallMs > latestSeen.wallMs ? HybridTime{wallMs, 0} : nextTimestamp(latestSeen);
     return this->latest;
 }
 
--- a/src/core/hybrid_clock_type.h
+++ b/src/core/hybrid_clock_type.h
@@ -1,4 +1,4 @@
-/** @file hybrid_clock_type.h  Hybrid logical clock: wall milliseconds with a counter, ordered after all it has seen. */
+/** @file hybrid_clock_type.h  Hybrid logical clock: wall-clock milliseconds with a counter. */
 #pragma once
 
 #include <compare>
@@ -11,37 +11,37 @@
 namespace Chestnuthook
 {
 
-/** One reading; text order equals this order while wall times have 13 digits (years 2001 to 2286). */
+/** A timestamp. Text forms sort like their timestamps while wall times have 13 digits (years 2001 to 2286). */
 struct HybridTime
 {
-    std::int64_t wallMs = 0; ///< Milliseconds since 1970 UTC, or of the latest event seen if that is later.
-    std::uint32_t counter = 0; ///< Orders events of one millisecond; at most MaxCounter.
+    std::int64_t wallMs = 0; ///< Milliseconds since 1970 UTC, or the wall time of a later timestamp observed.
+    std::uint32_t counter = 0; ///< Orders events within one millisecond; at most MaxCounter.
 
-    static constexpr std::uint32_t MaxCounter = 9999; ///< What four digits hold; then the wall part moves on.
+    static constexpr std::uint32_t MaxCounter = 9999; ///< Largest four-digit value; after it, wallMs is incremented.
 
     friend constexpr bool operator==(const HybridTime &, const HybridTime &) = default;
     friend constexpr std::strong_ordering operator<=>(const HybridTime &left, const HybridTime &right)
     {
         return std::tie(left.wallMs, left.counter) <=> std::tie(right.wallMs, right.counter);
     }
-    /** `1700000000000.0003`. */
+    /** Formats the timestamp, e.g. as `1700000000000.0003`. */
     [[nodiscard]] std::string toText() const;
-    /** Reads the text form; empty where it is not one. */
+    /** Parses the text form; empty if @p text is malformed. */
     [[nodiscard]] static std::optional<HybridTime> parse(std::string_view text);
 };
 
-/** Gives readings that grow and come after every reading observed. Not thread-safe. */
+/** Issues increasing timestamps, each later than all timestamps observed before. Not thread-safe. */
 class HybridClock
 {
 public:
-    /** The reading of a local event or of a message that is sent. */
+    /** Issues the timestamp of a local event or of a message to be sent. */
     HybridTime tick(std::int64_t wallMs);
-    /** The reading of a message's receipt; comes after @p remote. */
+    /** Issues the timestamp of the receipt of a message that carries @p remote; it is later than @p remote. */
     HybridTime observe(const HybridTime &remote, std::int64_t wallMs);
     [[nodiscard]] HybridTime last() const;
 
 private:
-    HybridTime latest; ///< The last reading given; never goes back.
+    HybridTime latest; ///< The last timestamp issued; never decreases.
 };
 
 } // namespace Chestnuthook
--- a/src/core/id_type.h
+++ b/src/core/id_type.h
@@ -1,4 +1,4 @@
-/** @file id_type.h  Strong id types: ids of different things do not convert into each other. */
+/** @file id_type.h  Strong id types: ids of different kinds do not convert into each other. */
 #pragma once
 
 #include <compare>
@@ -10,11 +10,11 @@
 namespace Chestnuthook
 {
 
-/** An id that wraps a text; @p Tag keeps ids of different things apart. */
+/** An id that wraps a text; @p Tag makes ids of different kinds distinct types. */
 template<typename Tag>
 struct TextId
 {
-    std::string text; ///< The id as it is shown to people and sent between processes.
+    std::string text; ///< The id as shown to people and sent between processes.
 
     TextId() = default;
     explicit TextId(std::string value)
@@ -29,7 +29,7 @@
     auto operator<=>(const TextId &) const = default;
 };
 
-/** An id that wraps a number; @p Tag keeps ids of different things apart. */
+/** An id that wraps a number; @p Tag makes ids of different kinds distinct types. */
 template<typename Tag, typename Number = std::uint64_t>
 struct NumberId
 {
@@ -44,20 +44,20 @@
 };
 
 using TenantId = TextId<struct TenantTag>; ///< A customer of the operator.
-using KeyId = TextId<struct KeyTag>; ///< Names a caller's key; not the key itself.
-using EntryId = TextId<struct EntryTag>; ///< One entry instance's process identity.
-using EndpointId = TextId<struct EndpointTag>; ///< A back end: engine replica or service replica, `ip:port`.
-using ServiceId = TextId<struct ServiceTag>; ///< A plain service by name.
-using ModelId = TextId<struct ModelTag>; ///< A model by name.
-using DataCentreId = TextId<struct DataCentreTag>; ///< A data centre by name.
-using ProgramId = TextId<struct ProgramTag>; ///< An agent program; its slot is a function of this id.
-using AttemptId = TextId<struct AttemptTag>; ///< One try of one call at one endpoint; never reused.
-using RequestId = TextId<struct RequestTag>; ///< Names an operator's or caller's request, so that a resend is seen.
+using KeyId = TextId<struct KeyTag>; ///< Identifies a client's key without disclosing it.
+using EntryId = TextId<struct EntryTag>; ///< Process identity of an entry instance.
+using EndpointId = TextId<struct EndpointTag>; ///< A back end (engine or service replica) as `ip:port`.
+using ServiceId = TextId<struct ServiceTag>; ///< Name of a plain service.
+using ModelId = TextId<struct ModelTag>; ///< Name of a model.
+using DataCentreId = TextId<struct DataCentreTag>; ///< Name of a data centre.
+using ProgramId = TextId<struct ProgramTag>; ///< An agent program; its slot is derived from this id.
+using AttemptId = TextId<struct AttemptTag>; ///< One attempt of a call at one endpoint; never reused.
+using RequestId = TextId<struct RequestTag>; ///< Identifies a request so that a resend of it is recognised.
 
-using SlotId = NumberId<struct SlotTag, std::uint16_t>; ///< One of SlotCount shares of all programs.
-using Epoch = NumberId<struct EpochTag>; ///< Grows with each change of a slot's owner.
-using Revision = NumberId<struct RevisionTag>; ///< Revision of the fleet state: its log index.
-using CallNumber = NumberId<struct CallTag, std::uint32_t>; ///< Position of a call in its program, from 1.
+using SlotId = NumberId<struct SlotTag, std::uint16_t>; ///< One of SlotCount partitions of all programs.
+using Epoch = NumberId<struct EpochTag>; ///< Incremented with each change of a slot's owner.
+using Revision = NumberId<struct RevisionTag>; ///< Revision of the fleet state, which is its log index.
+using CallNumber = NumberId<struct CallTag, std::uint32_t>; ///< Position of a call in its program, starting at 1.
 
 } // namespace Chestnuthook
 
--- a/src/core/name_table_type.h
+++ b/src/core/name_table_type.h
@@ -1,4 +1,4 @@
-/** @file name_table_type.h  Tables of names for `enum class` types. */
+/** @file name_table_type.h  Conversion between the enumerators of `enum class` types and their names. */
 #pragma once
 
 #include <array>
@@ -9,19 +9,19 @@
 namespace Chestnuthook
 {
 
-/** One enumerator and its name in texts and on the wire. */
+/** An enumerator and its name in texts and on the wire. */
 template<typename Enum>
 struct NameRow
 {
     Enum value; ///< The enumerator.
-    std::string_view name; ///< Its name; unique in its table.
+    std::string_view name; ///< Its name; unique within the table.
 };
 
-/** Specialise with `static constexpr auto Rows = std::to_array<NameRow<Enum>>({…});`, a row per enumerator in order. */
+/** Specialise with `static constexpr auto Rows = std::to_array<NameRow<Enum>>({…});`, one row per enumerator. */
 template<typename Enum>
 struct NameTable;
 
-/** Whether rows stand in the order of the enumerators from 0, with unique names; for a static_assert by the table. */
+/** Whether there is one row per enumerator from 0 to @p last, in order and with unique names; for static_assert. */
 template<typename Enum>
 [[nodiscard]] constexpr bool isNameTableWhole(Enum last)
 {
@@ -42,7 +42,7 @@
     return true;
 }
 
-/** The name of @p value; `unknown` for a value without a row. */
+/** The name of @p value; `unknown` if it has no row. */
 template<typename Enum>
 [[nodiscard]] constexpr std::string_view nameOf(Enum value)
 {
@@ -54,7 +54,7 @@
     return "unknown";
 }
 
-/** The enumerator named @p text; empty where there is none. */
+/** The enumerator whose name is @p text; empty if there is none. */
 template<typename Enum>
 [[nodiscard]] constexpr std::optional<Enum> parseName(std::string_view text)
 {
--- a/src/core/settings_func.cpp
+++ b/src/core/settings_func.cpp
@@ -1,4 +1,4 @@
-/** @file settings_func.cpp  Reads flags and environment without gflags' own parser, which ends at the first fault. */
+/** @file settings_func.cpp  Reads flags and environment without the gflags parser, which exits at the first fault. */
 #include "core/settings_func.h"
 
 #include <algorithm>
@@ -26,11 +26,11 @@
 constexpr std::string_view VariablePrefix = "CHESTNUTHOOK_";
 constexpr std::size_t MaxSecretBytes = 64 * 1024;
 
-/** A flag's value and where it came from. */
-struct Given
+/** Value of a flag and its source. */
+struct FlagValue
 {
-    std::string value; ///< The text as given.
-    std::string source; ///< `--flag` or the variable's name, for messages.
+    std::string value; ///< Text of the value.
+    std::string source; ///< `--flag` or the name of the variable, for messages.
 };
 
 void addFault(std::vector<Error> &faults, const std::string &what, std::string_view remedy)
@@ -43,7 +43,7 @@
     faults.push_back(Error{ErrorKind::BadSetting, std::move(text), Ran::No, 0});
 }
 
-bool isTruthFlag(const std::string &name)
+bool isBooleanFlag(const std::string &name)
 {
     gflags::CommandLineFlagInfo info;
     return gflags::GetCommandLineFlagInfo(name.c_str(), &info) && info.type == "bool";
@@ -57,11 +57,11 @@
     return found == checks.end() ? nullptr : &*found;
 }
 
-/** What the command line gave. */
+/** The parsed command line. */
 struct CommandLine
 {
-    std::map<std::string, Given, std::less<>> flags; ///< Known flags by name; the last one given wins.
-    std::vector<char *> words; ///< The program's name and all that is no flag.
+    std::map<std::string, FlagValue, std::less<>> flags; ///< Known flags by name; the last occurrence counts.
+    std::vector<char *> positional; ///< The program's name and the positional arguments.
     bool help = false; ///< `--help` was given.
     bool version = false; ///< `--version` was given.
 };
@@ -70,16 +70,16 @@
 {
     CommandLine line;
     if (argc > 0) {
-        line.words.push_back(argv[0]);
+        line.positional.push_back(argv[0]);
     }
     for (int i = 1; i < argc; ++i) {
         const std::string_view argument = argv[i];
         if (argument == "--") {
-            line.words.insert(line.words.end(), argv + i + 1, argv + argc);
+            line.positional.insert(line.positional.end(), argv + i + 1, argv + argc);
             break;
         }
         if (argument.size() < 2 || argument.front() != '-') {
-            line.words.push_back(argv[i]);
+            line.positional.push_back(argv[i]);
             continue;
         }
         const std::string_view body = argument.substr(argument.starts_with("--") ? 2 : 1);
@@ -94,14 +94,14 @@
         std::string value = hasValue ? std::string(body.substr(equals + 1)) : std::string();
         if (findCheck(checks, name) == nullptr) {
             const std::string positive = name.starts_with("no") ? name.substr(2) : std::string();
-            if (hasValue || findCheck(checks, positive) == nullptr || !isTruthFlag(positive)) {
-                addFault(faults, "unknown flag --" + name, "see --help for the flags there are");
+            if (hasValue || findCheck(checks, positive) == nullptr || !isBooleanFlag(positive)) {
+                addFault(faults, "unknown flag --" + name, "see --help for all flags");
                 continue;
             }
             name = positive;
             value = "false";
         } else if (!hasValue) {
-            if (isTruthFlag(name)) {
+            if (isBooleanFlag(name)) {
                 value = "true";
             } else if (i + 1 < argc) {
                 value = argv[++i];
@@ -110,13 +110,13 @@
                 continue;
             }
         }
-        line.flags[name] = Given{value, "--" + name};
+        line.flags[name] = FlagValue{value, "--" + name};
     }
     return line;
 }
 
-/** Finds known flags in the environment and refuses unknown CHESTNUTHOOK_* variables. */
-std::map<std::string, Given, std::less<>> readEnvironment(const std::vector<SettingCheck> &checks,
+/** Reads the variables of known flags; adds a fault for each unknown CHESTNUTHOOK_* variable. */
+std::map<std::string, FlagValue, std::less<>> readEnvironment(const std::vector<SettingCheck> &checks,
     const std::vector<std::string_view> &otherVariables, std::vector<Error> &faults)
 {
     std::set<std::string, std::less<>> allowed{"CHESTNUTHOOK_BIN", "CHESTNUTHOOK_BUILD", "CHESTNUTHOOK_SOURCE"};
@@ -125,7 +125,7 @@
     for (const SettingCheck &check : checks) {
         flagOf.emplace(settingVariable(check.flag), check.flag);
     }
-    std::map<std::string, Given, std::less<>> given;
+    std::map<std::string, FlagValue, std::less<>> given;
     std::set<std::string> unknown;
     for (char **variable = environ; variable != nullptr && *variable != nullptr; ++variable) {
         const std::string_view entry = *variable;
@@ -136,14 +136,14 @@
         const std::string name(entry.substr(0, equals));
         const auto flag = flagOf.find(name);
         if (flag != flagOf.end()) {
-            given[flag->second] =
-                Given{equals == std::string_view::npos ? std::string() : std::string(entry.substr(equals + 1)), name};
+            given[flag->second] = FlagValue{
+                equals == std::string_view::npos ? std::string() : std::string(entry.substr(equals + 1)), name};
         } else if (!allowed.contains(name)) {
             unknown.insert(name);
         }
     }
     for (const std::string &name : unknown) {
-        addFault(faults, "unknown environment variable " + name, "unset it, or see --help for the variables there are");
+        addFault(faults, "unknown environment variable " + name, "unset it, or see --help for all variables");
     }
     return given;
 }
@@ -198,16 +198,16 @@
         gflags::CommandLineFlagInfo info;
         if (!gflags::GetCommandLineFlagInfo(flag.c_str(), &info)) {
             outcome.faults.push_back(Error{
-                ErrorKind::Internal, "the table of settings names --" + flag + ", which is not defined", Ran::No, 0});
+                ErrorKind::Internal, "the settings table contains --" + flag + ", which is not defined", Ran::No, 0});
             continue;
         }
         std::string source = "--" + flag;
         std::string value = info.current_value;
         auto given = line.flags.find(flag);
-        const bool onLine = given != line.flags.end();
+        const bool onCommandLine = given != line.flags.end();
         const auto inEnvironment = environment.find(flag);
-        if (onLine || inEnvironment != environment.end()) {
-            const Given &chosen = onLine ? given->second : inEnvironment->second;
+        if (onCommandLine || inEnvironment != environment.end()) {
+            const FlagValue &chosen = onCommandLine ? given->second : inEnvironment->second;
             source = chosen.source;
             value = chosen.value;
             if (gflags::SetCommandLineOption(flag.c_str(), value.c_str()).empty()) {
@@ -222,11 +222,11 @@
             }
         }
     }
-    std::copy(line.words.begin(), line.words.end(), argv);
-    if (static_cast<int>(line.words.size()) < argc) {
-        argv[line.words.size()] = nullptr;
+    std::copy(line.positional.begin(), line.positional.end(), argv);
+    if (static_cast<int>(line.positional.size()) < argc) {
+        argv[line.positional.size()] = nullptr;
     }
-    argc = static_cast<int>(line.words.size());
+    argc = static_cast<int>(line.positional.size());
     return outcome;
 }
 
@@ -282,7 +282,7 @@
         }
     }
     std::string text =
-        "Flags; each also from the environment, where the command line wins. Besides: --help, --version.\n";
+        "Flags, each with its environment variable; the command line takes precedence. Also: --help, --version.\n";
     for (const std::string_view group : groups) {
         text += "\n" + std::string(group) + "\n";
         for (const SettingCheck &check : checks) {
@@ -327,7 +327,7 @@
         secret.resize(static_cast<std::size_t>(file.gcount()));
         if (secret.size() > MaxSecretBytes) {
             return fail(ErrorKind::BadSetting,
-                "the secret " + std::string(name) + " in " + source + " is over 64 KiB; give the right file");
+                "the secret " + std::string(name) + " in " + source + " is larger than 64 KiB; give the right file");
         }
     } else if (const char *const value = std::getenv(variable.c_str())) {
         secret = value;
@@ -370,14 +370,15 @@
     };
 }
 
-SettingCheckFunction rangeCheck(std::int64_t least, std::int64_t most)
+SettingCheckFunction rangeCheck(std::int64_t minimum, std::int64_t maximum)
 {
-    return [least, most](const std::string &text) -> std::optional<std::string> {
+    return [minimum, maximum](const std::string &text) -> std::optional<std::string> {
         std::int64_t number = 0;
         const char *const end = text.data() + text.size();
         const auto parsed = std::from_chars(text.data(), end, number);
-        if (parsed.ec != std::errc() || parsed.ptr != end || number < least || number > most) {
-            return "'" + text + "' is not a whole number from " + std::to_string(least) + " to " + std::to_string(most);
+        if (parsed.ec != std::errc() || parsed.ptr != end || number < minimum || number > maximum) {
+            return "'" + text + "' is not a whole number from " + std::to_string(minimum) + " to "
+                + std::to_string(maximum);
         }
         return std::nullopt;
     };
@@ -419,14 +420,14 @@
 
 std::vector<std::string> splitList(const std::string &list)
 {
-    std::vector<std::string> words;
+    std::vector<std::string> items;
     std::size_t at = 0;
     while (at <= list.size()) {
         const std::size_t comma = std::min(list.find(',', at), list.size());
-        words.push_back(list.substr(at, comma - at));
+        items.push_back(list.substr(at, comma - at));
         at = comma + 1;
     }
-    return words;
+    return items;
 }
 
 } // namespace Chestnuthook
--- a/src/core/timer_base.cpp
+++ b/src/core/timer_base.cpp
@@ -1,4 +1,4 @@
-/** @file timer_base.cpp  The timer queue, its subscriptions and the services over it. */
+/** @file timer_base.cpp  Timer queue, subscriptions and timer services. */
 #include "core/timer_base.h"
 
 #include <algorithm>
@@ -26,7 +26,7 @@
     if (found == this->dueOf.end()) {
         return;
     }
-    // The action's captures may cancel other timers as they go, so they go last.
+    // Destroying the action's captures may cancel other timers, so the node is destroyed last.
     auto node = this->entries.extract(Key(found->second, id));
     this->dueOf.erase(found);
 }
@@ -71,14 +71,14 @@
         node.mapped().action();
         return true;
     }
-    // A callback may run the queue in turn, so the id that ran before comes back at the end, also on a throw.
+    // A callback may itself run the queue, so the previous id is restored at the end, also after an exception.
     struct Restore
     {
-        Id &running; ///< The queue's mark.
-        Id outer; ///< What it was.
+        Id &running; ///< The `running` field of the queue.
+        Id previous; ///< Its previous value.
         ~Restore()
         {
-            this->running = this->outer;
+            this->running = this->previous;
         }
     };
     const Restore restore{this->running, this->running};
@@ -87,10 +87,10 @@
     if (this->running == id) {
         const Instant now = clock();
         const Instant planned = due + period;
-        const Instant again = planned > now ? planned : now + period;
-        node.key() = Key(again, id);
+        const Instant nextDueTime = planned > now ? planned : now + period;
+        node.key() = Key(nextDueTime, id);
         this->entries.insert(std::move(node));
-        this->dueOf.emplace(id, again);
+        this->dueOf.emplace(id, nextDueTime);
     }
     return true;
 }
@@ -124,7 +124,7 @@
 
 void TimerSubscription::cancel()
 {
-    // Cancelling may destroy the owner of this subscription, so nothing of it is touched after.
+    // Cancelling may destroy the owner of this subscription, so no member is accessed afterwards.
     const std::shared_ptr<TimerQueue> held = std::exchange(this->queue, {}).lock();
     const TimerQueue::Id cancelled = std::exchange(this->id, 0);
     if (held) {
--- a/src/core/timer_base.h
+++ b/src/core/timer_base.h
@@ -1,4 +1,4 @@
-/** @file timer_base.h  The one timer service: a queue of due callbacks over a real or a virtual clock. */
+/** @file timer_base.h  Timer service: a queue of callbacks by due time, over a real or a virtual clock. */
 #pragma once
 
 #include <cstddef>
@@ -21,33 +21,33 @@
 public:
     using Id = std::uint64_t;
 
-    /** Adds @p action at @p due; a @p period above zero repeats it. */
+    /** Schedules @p action for @p due; a @p period above zero makes it repeat. */
     Id add(Instant due, Duration period, std::function<void()> action);
-    /** Removes the callback; it does not run again. Unknown ids are ignored. */
+    /** Removes the callback, so that it does not run again. Unknown ids are ignored. */
     void cancel(Id id);
     [[nodiscard]] bool contains(Id id) const;
     [[nodiscard]] std::optional<Instant> nextDue() const;
-    /** Id that the next subscription will get. */
+    /** Id that the next subscription gets. */
     [[nodiscard]] Id nextId() const;
     [[nodiscard]] std::size_t size() const;
-    /** Runs the first callback due at or before @p limit with an id below @p idLimit; false where there is none. */
+    /** Runs the first callback due by @p limit with an id below @p idLimit; returns false if there is none. */
     bool runFirst(Instant limit, Id idLimit, const std::function<Instant()> &clock);
 
 private:
     struct Entry
     {
-        Duration period{0}; ///< Zero for a callback that runs once.
-        std::function<void()> action; ///< What to run.
+        Duration period{0}; ///< Zero if the callback runs once.
+        std::function<void()> action; ///< The callback.
     };
     using Key = std::pair<Instant, Id>;
 
-    std::map<Key, Entry> entries; ///< All waiting callbacks in the order in which they run.
-    std::unordered_map<Id, Instant> dueOf; ///< Due time of each waiting id; same ids as `entries`.
-    Id next = 1; ///< Grows; ids are never reused.
-    Id running = 0; ///< Id of the repeating callback that runs now; 0 where none does or it was cancelled.
+    std::map<Key, Entry> entries; ///< Pending callbacks in the order in which they run.
+    std::unordered_map<Id, Instant> dueOf; ///< Due time of each pending id; has the same ids as `entries`.
+    Id next = 1; ///< Id of the next subscription; ids are never reused.
+    Id running = 0; ///< Id of the repeating callback being run; 0 if there is none or it was cancelled.
 };
 
-/** Keeps a callback subscribed; cancels it on destruction. May outlive the service. */
+/** Handle of a subscribed callback; cancels it on destruction. May outlive the service. */
 class [[nodiscard]] TimerSubscription
 {
 public:
@@ -59,17 +59,17 @@
     TimerSubscription &operator=(const TimerSubscription &) = delete;
     ~TimerSubscription();
 
-    /** Ends the subscription; may be called from within the callback and more than once. */
+    /** Ends the subscription; may be called from within the callback and repeatedly. */
     void cancel();
-    /** Whether the callback will run (again). */
+    /** Whether the callback is still going to run. */
     [[nodiscard]] bool active() const;
 
 private:
-    std::weak_ptr<TimerQueue> queue; ///< Empty where nothing is subscribed.
-    TimerQueue::Id id = 0; ///< The callback in `queue`; 0 where nothing is subscribed.
+    std::weak_ptr<TimerQueue> queue; ///< Empty if nothing is subscribed.
+    TimerQueue::Id id = 0; ///< Id of the callback in `queue`; 0 if nothing is subscribed.
 };
 
-/** Time and callbacks for the control thread. Callbacks may subscribe and cancel. Not thread-safe but for `now`. */
+/** Clock and timers of the control thread. Callbacks may subscribe and cancel. Only `now` is thread-safe. */
 class TimerService
 {
 public:
@@ -80,37 +80,37 @@
     TimerService &operator=(const TimerService &) = delete;
 
     [[nodiscard]] Instant now() const;
-    /** Runs @p action once, @p delay from now; a delay below zero counts as zero. */
+    /** Runs @p action once after @p delay; a negative delay counts as zero. */
     [[nodiscard]] TimerSubscription after(Duration delay, std::function<void()> action);
-    /** Runs @p action each @p period, first one period from now; missed rounds are not made up for. */
+    /** Runs @p action every @p period, first after one period; missed runs are skipped. */
     [[nodiscard]] TimerSubscription every(Duration period, std::function<void()> action);
 
-    /** Runs what was due and subscribed when called; returns how many callbacks ran. */
+    /** Runs the callbacks that are subscribed and due at the time of the call; returns how many ran. */
     std::size_t runDue();
-    /** When the next callback is due; empty where none waits. */
+    /** When the next callback is due; empty if none is pending. */
     [[nodiscard]] std::optional<Instant> nextDue() const;
-    /** How many callbacks wait. */
+    /** Number of pending callbacks. */
     [[nodiscard]] std::size_t pending() const;
 
 protected:
-    ClockFunction clock; ///< Gives the current instant; never goes back.
+    ClockFunction clock; ///< Returns the current instant; never goes back.
     std::shared_ptr<TimerQueue> queue; ///< Shared with subscriptions, which may outlive the service.
 };
 
-/** The real service, over the steady clock; its owner calls `runDue` at `nextDue`. */
+/** Timer service over the steady clock; its owner calls `runDue` at `nextDue`. */
 class SteadyTimer : public TimerService
 {
 public:
     SteadyTimer();
 };
 
-/** The service of tests: time stands still but for `advance`. */
+/** Timer service for tests, whose time only changes by `advance`. */
 class VirtualTimer : public TimerService
 {
 public:
     explicit VirtualTimer(Instant start = Instant(0));
 
-    /** Moves time on by @p duration and runs each callback at its own due time, in order. */
+    /** Advances the time by @p duration and runs each callback at its due time, in order. */
     void advance(Duration duration);
 
 private:
--- a/src/core/timer_type.h
+++ b/src/core/timer_type.h
@@ -1,4 +1,4 @@
-/** @file timer_type.h  Durations and monotonic instants, and what a timer service offers. */
+/** @file timer_type.h  Durations, monotonic instants and the interface of timer services. */
 #pragma once
 
 #include <chrono>
@@ -12,7 +12,7 @@
 
 using Duration = std::chrono::microseconds;
 
-/** A point on this process's monotonic clock; it means nothing in another process. */
+/** A point in time on the monotonic clock of this process; not comparable with those of other processes. */
 struct Instant
 {
     std::int64_t us = 0; ///< Microseconds since an arbitrary start.
@@ -47,7 +47,7 @@
     }
 };
 
-/** What parts may ask of a timer service. */
+/** Interface of a timer service as its users need it. */
 template<typename T>
 concept TimerServiceLike = requires(T &timers, const T &constTimers, Duration duration, std::function<void()> action)
 {
--- a/tests/unit/hash_test.cpp
+++ b/tests/unit/hash_test.cpp
@@ -1,4 +1,4 @@
-/** @file hash_test.cpp  Hashes against published vectors. */
+/** @file hash_test.cpp  Tests of the hashes against published vectors. */
 #define BOOST_TEST_MODULE hash
 #include <boost/test/unit_test.hpp>
 
@@ -9,7 +9,7 @@
 
 using namespace Chestnuthook;
 
-BOOST_AUTO_TEST_CASE(xxHashMatchesItsVectors)
+BOOST_AUTO_TEST_CASE(xxHashMatchesTestVectors)
 {
     BOOST_TEST(hash64("") == 0xef46db3751d8e999ULL);
     BOOST_TEST(hash64("a") == 0xd24ec4f1a98c6e5bULL);
@@ -17,7 +17,7 @@
     BOOST_TEST(hash64("abc", 1) != hash64("abc"));
 }
 
-BOOST_AUTO_TEST_CASE(sha256MatchesItsVectors)
+BOOST_AUTO_TEST_CASE(sha256MatchesTestVectors)
 {
     BOOST_TEST(sha256Hex("") == "e3b0c44298fc1c149afbf4c8996fb92427ae41e4649b934ca495991b7852b855");
     BOOST_TEST(sha256Hex("abc") == "ba7816bf8f01cfea414140de5dae2223b00361a396177a9cb410ff61f20015ad");
@@ -32,13 +32,13 @@
     BOOST_TEST(toHex(hmacSha256({}, {})) == "b613679a0814d9ec772f95d778c35fc5ff1697c493715653c6c712144292c5ad");
 }
 
-BOOST_AUTO_TEST_CASE(checksumSeesOneBit)
+BOOST_AUTO_TEST_CASE(checksumDetectsOneBit)
 {
     BOOST_TEST(checksum32("record") == checksum32("record"));
     BOOST_TEST(checksum32("record") != checksum32("recorD"));
 }
 
-BOOST_AUTO_TEST_CASE(comparesWhole)
+BOOST_AUTO_TEST_CASE(constantTimeEqualsComparesLengthAndContent)
 {
     BOOST_TEST(constantTimeEquals("", ""));
     BOOST_TEST(constantTimeEquals("abc", "abc"));
@@ -46,7 +46,7 @@
     BOOST_TEST(!constantTimeEquals("abc", "ab"));
 }
 
-BOOST_AUTO_TEST_CASE(randomTextsDiffer)
+BOOST_AUTO_TEST_CASE(randomHexValuesDiffer)
 {
     constexpr int Rounds = 100;
     std::set<std::string> seen;
--- a/tests/unit/hybrid_clock_test.cpp
+++ b/tests/unit/hybrid_clock_test.cpp
@@ -1,4 +1,4 @@
-/** @file hybrid_clock_test.cpp  The hybrid logical clock. */
+/** @file hybrid_clock_test.cpp  Tests of the hybrid logical clock. */
 #define BOOST_TEST_MODULE hybrid_clock
 #include <boost/test/unit_test.hpp>
 
@@ -6,7 +6,7 @@
 
 using namespace Chestnuthook;
 
-BOOST_AUTO_TEST_CASE(growsAlsoWhenTheWallClockGoesBack)
+BOOST_AUTO_TEST_CASE(increasesWhenWallClockGoesBack)
 {
     HybridClock clock;
     const HybridTime first = clock.tick(1000);
@@ -18,7 +18,7 @@
     BOOST_TEST((clock.tick(1001) == HybridTime{1001, 0}));
 }
 
-BOOST_AUTO_TEST_CASE(comesAfterWhatItObserves)
+BOOST_AUTO_TEST_CASE(isLaterThanObservedTimestamps)
 {
     HybridClock clock;
     clock.tick(1000);
@@ -28,7 +28,7 @@
     BOOST_TEST((clock.last() == HybridTime{6000, 0}));
 }
 
-BOOST_AUTO_TEST_CASE(theCounterMovesTheWallPartOn)
+BOOST_AUTO_TEST_CASE(counterOverflowAdvancesWallTime)
 {
     HybridClock clock;
     clock.observe(HybridTime{1000, HybridTime::MaxCounter - 1}, 1);
@@ -36,7 +36,7 @@
     BOOST_TEST((clock.tick(1) == HybridTime{1001, 0}));
 }
 
-BOOST_AUTO_TEST_CASE(textFormIsReadBack)
+BOOST_AUTO_TEST_CASE(textFormRoundTrips)
 {
     const HybridTime time{1700000000000, 3};
     BOOST_TEST(time.toText() == "1700000000000.0003");
--- a/tests/unit/settings_test.cpp
+++ b/tests/unit/settings_test.cpp
@@ -1,4 +1,4 @@
-/** @file settings_test.cpp  Settings from flags and environment. */
+/** @file settings_test.cpp  Tests of settings from flags and environment variables. */
 #define BOOST_TEST_MODULE settings
 #include <boost/test/unit_test.hpp>
 
@@ -28,86 +28,86 @@
     {"verbose_log", "Work", {}, "give true or false"},
 };
 
-/** Runs loadSettings over these words; keeps the words that are left. */
-struct Line
+/** Runs loadSettings on a command line; keeps its outcome and the arguments that are left. */
+struct CommandLineRun
 {
-    explicit Line(std::vector<std::string> given)
-        : words(std::move(given))
+    explicit CommandLineRun(std::vector<std::string> given)
+        : arguments(std::move(given))
     {
-        this->words.insert(this->words.begin(), "program");
-        for (std::string &word : this->words) {
-            this->pointers.push_back(word.data());
+        this->arguments.insert(this->arguments.begin(), "program");
+        for (std::string &argument : this->arguments) {
+            this->pointers.push_back(argument.data());
         }
         this->pointers.push_back(nullptr);
-        int argc = static_cast<int>(this->words.size());
+        int argc = static_cast<int>(this->arguments.size());
         char **argv = this->pointers.data();
         this->outcome = loadSettings(argc, argv, Checks, {"CHESTNUTHOOK_FLEET_SECRET"});
         for (int i = 1; i < argc; ++i) {
-            this->left.emplace_back(argv[i]);
+            this->remaining.emplace_back(argv[i]);
         }
     }
 
-    std::vector<std::string> words; ///< Storage of argv.
-    std::vector<char *> pointers; ///< argv.
-    SettingsOutcome outcome; ///< What was found.
-    std::vector<std::string> left; ///< Words that are no flags.
+    std::vector<std::string> arguments; ///< Storage of the strings in argv.
+    std::vector<char *> pointers; ///< The argv array.
+    SettingsOutcome outcome; ///< Result of loadSettings.
+    std::vector<std::string> remaining; ///< Positional arguments left in argv.
 };
 
-/** Sets a variable for one test. */
-struct Variable
+/** Sets an environment variable while it is in scope. */
+struct ScopedVariable
 {
-    Variable(std::string variable, const char *value)
+    ScopedVariable(std::string variable, const char *value)
         : name(std::move(variable))
     {
         setenv(this->name.c_str(), value, 1);
     }
-    Variable(const Variable &) = delete;
-    Variable &operator=(const Variable &) = delete;
-    ~Variable()
+    ScopedVariable(const ScopedVariable &) = delete;
+    ScopedVariable &operator=(const ScopedVariable &) = delete;
+    ~ScopedVariable()
     {
         unsetenv(this->name.c_str());
     }
 
-    std::string name; ///< Its name.
+    std::string name; ///< Name of the variable.
 };
 
-/** Number of faults in a line; the flags are as before afterwards. */
-std::size_t faultCount(std::vector<std::string> words)
+/** Number of faults in a command line; restores the flags afterwards. */
+std::size_t faultCount(std::vector<std::string> arguments)
 {
     const gflags::FlagSaver saver;
-    return Line(std::move(words)).outcome.faults.size();
+    return CommandLineRun(std::move(arguments)).outcome.faults.size();
 }
 
-/** Puts all flags back after each test. */
+/** Restores all flags after each test. */
 struct Fixture
 {
-    gflags::FlagSaver saver; ///< Restores the flags.
+    gflags::FlagSaver saver; ///< Restores the flags on destruction.
 };
 
 } // namespace
 
 BOOST_FIXTURE_TEST_SUITE(settings, Fixture)
 
-BOOST_AUTO_TEST_CASE(theCommandLineWinsOverTheEnvironment)
+BOOST_AUTO_TEST_CASE(commandLineOverridesEnvironment)
 {
-    const Variable workers("CHESTNUTHOOK_WORKER_COUNT", "7");
-    const Variable address("CHESTNUTHOOK_LISTEN_ADDRESS", "127.0.0.1:99");
-    const Line line({"apply", "--worker_count", "9", "-verbose_log", "file.yaml", "--", "--not_a_flag"});
+    const ScopedVariable workers("CHESTNUTHOOK_WORKER_COUNT", "7");
+    const ScopedVariable address("CHESTNUTHOOK_LISTEN_ADDRESS", "127.0.0.1:99");
+    const CommandLineRun line({"apply", "--worker_count", "9", "-verbose_log", "file.yaml", "--", "--not_a_flag"});
     BOOST_TEST(line.outcome.faults.empty());
     BOOST_TEST(FLAGS_worker_count == 9);
     BOOST_TEST(FLAGS_listen_address == "127.0.0.1:99");
     BOOST_TEST(FLAGS_verbose_log);
     const std::vector<std::string> expected{"apply", "file.yaml", "--not_a_flag"};
-    BOOST_TEST(line.left == expected, boost::test_tools::per_element());
+    BOOST_TEST(line.remaining == expected, boost::test_tools::per_element());
     BOOST_TEST(!reportSettings(line.outcome).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(allFaultsComeAtOnce)
+BOOST_AUTO_TEST_CASE(allFaultsAreReportedAtOnce)
 {
-    const Variable unknown("CHESTNUTHOOK_NO_SUCH", "1");
-    const Variable secret("CHESTNUTHOOK_FLEET_SECRET", "s");
-    const Variable source("CHESTNUTHOOK_SOURCE", "/somewhere");
-    const Line line({"--listen_address=localhost:1", "--worker_count=many", "--wrong=1", "--flagfile=/x"});
+    const ScopedVariable unknown("CHESTNUTHOOK_NO_SUCH", "1");
+    const ScopedVariable secret("CHESTNUTHOOK_FLEET_SECRET", "s");
+    const ScopedVariable source("CHESTNUTHOOK_SOURCE", "/somewhere");
+    const CommandLineRun line({"--listen_address=localhost:1", "--worker_count=many", "--wrong=1", "--flagfile=/x"});
     BOOST_REQUIRE(line.outcome.faults.size() == 5U);
     std::string all;
     for (const Error &fault : line.outcome.faults) {
@@ -124,26 +124,26 @@
     BOOST_TEST((reportSettings(line.outcome) == 2));
 }
 
-BOOST_AUTO_TEST_CASE(outOfRangeAndMissingValuesAreRefused)
+BOOST_AUTO_TEST_CASE(outOfRangeAndMissingValuesAreRejected)
 {
     BOOST_TEST(faultCount({"--worker_count=65"}) == 1U);
     BOOST_TEST(faultCount({"--worker_count"}) == 1U);
     BOOST_TEST(faultCount({"--verbose_log=perhaps"}) == 1U);
-    const Variable workers("CHESTNUTHOOK_WORKER_COUNT", "0");
+    const ScopedVariable workers("CHESTNUTHOOK_WORKER_COUNT", "0");
     BOOST_TEST(faultCount({}) == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(truthFlagsHaveANegativeForm)
+BOOST_AUTO_TEST_CASE(booleanFlagsHaveNegatedForm)
 {
     FLAGS_verbose_log = true;
-    BOOST_TEST(Line({"--noverbose_log"}).outcome.faults.empty());
+    BOOST_TEST(CommandLineRun({"--noverbose_log"}).outcome.faults.empty());
     BOOST_TEST(!FLAGS_verbose_log);
     BOOST_TEST(faultCount({"--noworker_count"}) == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(helpIsGroupedByTheTable)
+BOOST_AUTO_TEST_CASE(helpIsGroupedBySettingGroup)
 {
-    const Line line({"--help"});
+    const CommandLineRun line({"--help"});
     const std::string &help = line.outcome.help;
     const std::size_t network = help.find("\nNetwork\n");
     const std::size_t work = help.find("\nWork\n");
@@ -157,7 +157,7 @@
 {
     BOOST_TEST(!loadSecret("fleet_secret", "").has_value());
     BOOST_TEST(!loadSecret("fleet_secret", "/no/such/file").has_value());
-    const Variable secret("CHESTNUTHOOK_FLEET_SECRET", "from-environment");
+    const ScopedVariable secret("CHESTNUTHOOK_FLEET_SECRET", "from-environment");
     BOOST_TEST(loadSecret("fleet_secret", "").value() == "from-environment");
     char path[] = "/tmp/settings_test_XXXXXX";
     const int descriptor = mkstemp(path);
@@ -169,7 +169,7 @@
     std::remove(path);
 }
 
-BOOST_AUTO_TEST_CASE(checksTellRightFromWrong)
+BOOST_AUTO_TEST_CASE(checksRejectInvalidValues)
 {
     BOOST_TEST(!addressCheck()("10.0.0.1:80").has_value());
     BOOST_TEST(!addressCheck()("[::1]:80").has_value());
@@ -194,20 +194,20 @@
 
 BOOST_AUTO_TEST_SUITE_END()
 
-BOOST_AUTO_TEST_CASE(wordsAreRefusedWhereABinaryTakesFlagsOnly)
+BOOST_AUTO_TEST_CASE(positionalArgumentsAreRejected)
 {
-    Line line({"--worker_count=3", "start", "now"});
+    CommandLineRun line({"--worker_count=3", "start", "now"});
     BOOST_TEST(line.outcome.faults.empty());
     rejectPositionalArguments(line.outcome, 3, line.pointers.data());
     BOOST_REQUIRE_EQUAL(line.outcome.faults.size(), 2U);
     BOOST_TEST(line.outcome.faults[1].what.find("unexpected word 'now'") == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(versionIsTold)
+BOOST_AUTO_TEST_CASE(versionIsPrinted)
 {
-    const Line line({"--version", "--colour=red"});
+    const CommandLineRun line({"--version", "--colour=red"});
     BOOST_TEST(line.outcome.faults.empty());
     BOOST_TEST(line.outcome.help.starts_with("chestnuthook "));
-    const Line both({"--version", "--help"});
+    const CommandLineRun both({"--version", "--help"});
     BOOST_TEST(both.outcome.help.find("--worker_count") != std::string::npos);
 }
--- a/tests/unit/timer_test.cpp
+++ b/tests/unit/timer_test.cpp
@@ -1,4 +1,4 @@
-/** @file timer_test.cpp  The timer service under virtual time. */
+/** @file timer_test.cpp  Tests of the timer service under virtual time. */
 #define BOOST_TEST_MODULE timer
 #include <boost/test/unit_test.hpp>
 
@@ -39,7 +39,7 @@
     VirtualTimer timers;
     int runs = 0;
     {
-        const auto gone = timers.after(1ms, [&] {
+        const auto destroyed = timers.after(1ms, [&] {
             ++runs;
         });
     }
@@ -56,7 +56,7 @@
     BOOST_TEST(timers.pending() == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(repeatsAndCancelsFromWithin)
+BOOST_AUTO_TEST_CASE(repeatingCallbackCanCancelItself)
 {
     VirtualTimer timers;
     int runs = 0;
@@ -76,23 +76,23 @@
 {
     VirtualTimer timers;
     std::string order;
-    TimerSubscription victim;
+    TimerSubscription cancelled;
     TimerSubscription inner;
     const auto outer = timers.after(1ms, [&] {
         order += "o";
-        victim.cancel();
+        cancelled.cancel();
         inner = timers.after(1ms, [&] {
             order += "i" + std::to_string(timers.now().us);
         });
     });
-    victim = timers.after(1ms, [&] {
+    cancelled = timers.after(1ms, [&] {
         order += "v";
     });
     timers.advance(5ms);
     BOOST_TEST(order == "oi2000");
 }
 
-BOOST_AUTO_TEST_CASE(runDueLeavesWhatItsCallbacksSubscribe)
+BOOST_AUTO_TEST_CASE(runDueSkipsCallbacksSubscribedMeanwhile)
 {
     Instant now(0);
     TimerService timers([&now] {
@@ -110,7 +110,7 @@
     BOOST_TEST(runs == 2);
 }
 
-BOOST_AUTO_TEST_CASE(missedRoundsAreNotMadeUpFor)
+BOOST_AUTO_TEST_CASE(missedPeriodsAreSkipped)
 {
     Instant now(0);
     TimerService timers([&now] {
@@ -135,11 +135,11 @@
     subscription.cancel();
 }
 
-BOOST_AUTO_TEST_CASE(aCallbackMayDestroyItsOwner)
+BOOST_AUTO_TEST_CASE(callbackMayDestroyItsOwner)
 {
     struct Owner
     {
-        TimerSubscription subscription; ///< Goes with its owner.
+        TimerSubscription subscription; ///< Destroyed with its owner.
     };
     VirtualTimer timers;
     auto owner = std::make_unique<Owner>();
