--- a/src/core/settings_func.cpp
+++ b/src/core/settings_func.cpp
@@ -239,7 +239,7 @@
 
 DaemonSettings loadDaemonSettings(int argc, char **argv, const std::vector<SettingCheck> &checks)
 {
-    DaemonSettings start;
+    DaemonSettings settings;
     SettingsOutcome outcome = loadSettings(argc, argv, checks, {"CHESTNUTHOOK_SECRET"});
     if (outcome.help.empty()) {
         rejectPositionalArguments(outcome, argc, argv);
@@ -247,13 +247,13 @@
         gflags::GetCommandLineOption("secret_file", &file);
         const Result<std::string> secret = loadSecret("secret", file);
         if (secret) {
-            start.secret = *secret;
+            settings.secret = *secret;
         } else {
             outcome.faults.push_back(secret.error());
         }
     }
-    start.exitCode = reportSettings(outcome);
-    return start;
+    settings.exitCode = reportSettings(outcome);
+    return settings;
 }
 
 std::optional<int> reportSettings(const SettingsOutcome &outcome)
