--- a/src/ctl/ctl_reference_func.cpp
+++ b/src/ctl/ctl_reference_func.cpp
@@ -23,9 +23,9 @@
 {
     switch (row.type) {
     case FieldType::Number:
-        return "number, " + numberText(row.least) + " to " + numberText(row.most);
+        return "number, " + numberText(row.minimum) + " to " + numberText(row.maximum);
     case FieldType::Whole:
-        return "whole number, " + numberText(row.least) + " to " + numberText(row.most);
+        return "whole number, " + numberText(row.minimum) + " to " + numberText(row.maximum);
     case FieldType::Flag:
         return "true or false";
     case FieldType::Text:
@@ -44,7 +44,7 @@
         return "must be given";
     }
     const bool isNumber = row.type == FieldType::Number || row.type == FieldType::Whole;
-    return isNumber                   ? "else " + numberText(row.standard)
+    return isNumber                   ? "else " + numberText(row.defaultValue)
         : row.type == FieldType::Flag ? "else false"
                                       : "may be left out";
 }
--- a/src/fleet/declaration_func.cpp
+++ b/src/fleet/declaration_func.cpp
@@ -1,4 +1,4 @@
-/** @file declaration_func.cpp  Checks and reads declarations' fields as their rows in the table say. */
+/** @file declaration_func.cpp  Validates and parses the fields of declarations according to the field table. */
 #include "fleet/declaration_func.h"
 
 #include <algorithm>
@@ -20,7 +20,7 @@
 
 constexpr double MsPerSecond = 1e3;
 
-std::string shown(double value)
+std::string formatNumber(double value)
 {
     std::string text = std::to_string(value);
     text.erase(text.find_last_not_of('0') + 1);
@@ -39,7 +39,7 @@
     return names;
 }
 
-/** Collects the faults of one item. */
+/** Validates one item against its section and collects the faults. */
 class FieldChecker
 {
 public:
@@ -53,7 +53,7 @@
     {
         for (const std::string &name : this->object.getNames()) {
             if (findField(this->section, name) == nullptr) {
-                this->blameUnknown(name);
+                this->addUnknownFieldFault(name);
             }
         }
         for (const FieldRow &row : this->section.fields) {
@@ -61,28 +61,28 @@
             if (this->object.has(name) && !this->object.isNull(name)) {
                 this->checkValue(row, this->object.get(name));
             } else if (row.required) {
-                this->blame({}, "field " + name + " is missing", "add " + name + ": " + std::string(row.remedy));
+                this->addFault({}, "field " + name + " is missing", "add " + name + ": " + std::string(row.remedy));
             }
         }
         return std::move(this->faults);
     }
 
 private:
-    void blame(std::vector<std::string> path, std::string what, std::string remedy)
+    void addFault(std::vector<std::string> path, std::string what, std::string remedy)
     {
         this->faults.push_back(FieldFault{std::move(path), std::move(what), std::move(remedy)});
     }
 
-    void blameUnknown(const std::string &name)
+    void addUnknownFieldFault(const std::string &name)
     {
-        const std::string near = nearestName(name, fieldNames(this->section));
+        const std::string suggestion = nearestName(name, fieldNames(this->section));
         std::string known;
         for (const std::string_view field : fieldNames(this->section)) {
             known += known.empty() ? "" : ", ";
             known += field;
         }
-        this->blame({name}, "is not a field of " + std::string(this->section.name),
-            near.empty() ? "remove it; the fields are " + known : "did you mean " + near + "?");
+        this->addFault({name}, "is not a field of " + std::string(this->section.name),
+            suggestion.empty() ? "remove it; the fields are " + known : "did you mean " + suggestion + "?");
     }
 
     void checkNumber(const FieldRow &row, std::vector<std::string> path, const Var &value)
@@ -90,23 +90,24 @@
         const bool whole = row.type != FieldType::Number;
         if (!value.isNumeric() || value.isBoolean()) {
             const std::string quoted = value.isString() ? ", not text; write it without quotes" : "";
-            this->blame(std::move(path), whole ? "must be a whole number" + quoted : "must be a number" + quoted,
+            this->addFault(std::move(path), whole ? "must be a whole number" + quoted : "must be a number" + quoted,
                 std::string(row.remedy));
             return;
         }
         const auto number = value.convert<double>();
         if (whole && number != std::floor(number)) {
-            this->blame(std::move(path), "must be a whole number", std::string(row.remedy));
-        } else if (!(number >= row.least && number <= row.most)) {
-            this->blame(std::move(path), "must be from " + shown(row.least) + " to " + shown(row.most),
+            this->addFault(std::move(path), "must be a whole number", std::string(row.remedy));
+        } else if (!(number >= row.minimum && number <= row.maximum)) {
+            this->addFault(std::move(path),
+                "must be from " + formatNumber(row.minimum) + " to " + formatNumber(row.maximum),
                 std::string(row.remedy));
         }
     }
 
-    void checkTexts(const FieldRow &row, const std::string &name, const Var &value)
+    void checkTextList(const FieldRow &row, const std::string &name, const Var &value)
     {
         if (value.type() != typeid(Poco::JSON::Array::Ptr)) {
-            this->blame({name}, "must be a list", std::string(row.remedy));
+            this->addFault({name}, "must be a list", std::string(row.remedy));
             return;
         }
         const auto &array = value.extract<Poco::JSON::Array::Ptr>();
@@ -117,8 +118,8 @@
                 ? !text.empty()
                 : std::find(row.allowed.begin(), row.allowed.end(), text) != row.allowed.end();
             if (!allowed) {
-                this->blame({name, std::to_string(i)}, (text.empty() ? "what stands there" : text) + " is not allowed",
-                    std::string(row.remedy));
+                this->addFault({name, std::to_string(i)},
+                    (text.empty() ? "what stands there" : text) + " is not allowed", std::string(row.remedy));
             }
         }
     }
@@ -126,13 +127,13 @@
     void checkCounts(const FieldRow &row, const std::string &name, const Var &value)
     {
         if (value.type() != typeid(Poco::JSON::Object::Ptr)) {
-            this->blame({name}, "must be a map of names to whole numbers", std::string(row.remedy));
+            this->addFault({name}, "must be a map of names to whole numbers", std::string(row.remedy));
             return;
         }
         const auto &map = value.extract<Poco::JSON::Object::Ptr>();
         for (const std::string &key : map->getNames()) {
             if (!isPlainName(key)) {
-                this->blame({name, key}, "is not a plain name",
+                this->addFault({name, key}, "is not a plain name",
                     "use lower-case letters, digits, '-', '_' and '.', a letter first");
             }
             this->checkNumber(row, {name, key}, map->get(key));
@@ -149,16 +150,16 @@
             return;
         case FieldType::Flag:
             if (!value.isBoolean()) {
-                this->blame({name}, "must be true or false", std::string(row.remedy));
+                this->addFault({name}, "must be true or false", std::string(row.remedy));
             }
             return;
         case FieldType::Text:
             if (!value.isString() || value.convert<std::string>().empty()) {
-                this->blame({name}, "must be a text", std::string(row.remedy));
+                this->addFault({name}, "must be a text", std::string(row.remedy));
             }
             return;
         case FieldType::Texts:
-            this->checkTexts(row, name, value);
+            this->checkTextList(row, name, value);
             return;
         case FieldType::Counts:
             this->checkCounts(row, name, value);
@@ -166,13 +167,13 @@
         }
     }
 
-    const SectionRow &section; ///< The item's section.
-    const Poco::JSON::Object &object; ///< The item.
-    std::vector<FieldFault> faults; ///< Found so far.
+    const SectionRow &section; ///< Section that the item belongs to.
+    const Poco::JSON::Object &object; ///< Item to validate.
+    std::vector<FieldFault> faults; ///< Faults found so far.
 };
 
-/** Rules that concern several fields of an item. */
-void addItemFaults(const SectionRow &section, const Poco::JSON::Object &object, std::vector<FieldFault> &faults)
+/** Adds faults of rules that go beyond the type and bounds of a single field. */
+void addCrossFieldFaults(const SectionRow &section, const Poco::JSON::Object &object, std::vector<FieldFault> &faults)
 {
     if (section.name == "pools" && object.has("model") == object.has("service")) {
         faults.push_back({{}, "a pool serves either a model or a service", "give one of model and service"});
@@ -182,7 +183,7 @@
     }
 }
 
-Poco::JSON::Object::Ptr objectOf(const std::string &json)
+Poco::JSON::Object::Ptr parseObject(const std::string &json)
 {
     try {
         return Poco::JSON::Parser().parse(json).extract<Poco::JSON::Object::Ptr>();
@@ -191,7 +192,7 @@
     }
 }
 
-/** Reads fields of an item that has no faults; a number that isn't given has its row's standard value. */
+/** Reads the fields of a valid item; a missing number has the default value of its field. */
 class FieldReader
 {
 public:
@@ -201,12 +202,12 @@
         if (!checked) {
             return tl::unexpected(checked.error());
         }
-        return FieldReader(*findSection(section), objectOf(json));
+        return FieldReader(*findSection(section), parseObject(json));
     }
 
     [[nodiscard]] double number(const std::string &name) const
     {
-        return this->has(name) ? this->object->getValue<double>(name) : findField(this->section, name)->standard;
+        return this->has(name) ? this->object->getValue<double>(name) : findField(this->section, name)->defaultValue;
     }
     template<typename Number>
     [[nodiscard]] Number whole(const std::string &name) const
@@ -256,7 +257,7 @@
         return this->object->has(name) && !this->object->isNull(name);
     }
 
-    const SectionRow &section; ///< The item's section.
+    const SectionRow &section; ///< Section that the item belongs to.
     Poco::JSON::Object::Ptr object; ///< Never null.
 };
 
@@ -345,7 +346,7 @@
     if (service.open) {
         return true;
     }
-    // Paths with dot segments or escapes could name another resource at the service than the prefix says.
+    // Dot segments, percent escapes and empty segments could resolve to a resource outside the prefix at the service.
     const bool plain = path.find("/.") == std::string_view::npos && path.find('%') == std::string_view::npos
         && path.find("//") == std::string_view::npos;
     return plain && std::any_of(routes.begin(), routes.end(), [&](const auto &row) {
@@ -368,14 +369,14 @@
         faults.push_back(
             {{}, "is not a plain name", "use lower-case letters, digits, '-', '_' and '.', a letter first"});
     }
-    const Poco::JSON::Object::Ptr object = objectOf(json);
+    const Poco::JSON::Object::Ptr object = parseObject(json);
     if (object.isNull()) {
         faults.push_back({{}, "must be a map of fields", "give the fields by name"});
         return faults;
     }
     const std::vector<FieldFault> found = FieldChecker(*row, *object).run();
     faults.insert(faults.end(), found.begin(), found.end());
-    addItemFaults(*row, *object, faults);
+    addCrossFieldFaults(*row, *object, faults);
     return faults;
 }
 
@@ -398,7 +399,7 @@
     std::string nearest;
     std::size_t best = MaxEdits + 1;
     for (const std::string_view name : names) {
-        std::vector<std::size_t> edits(name.size() + 1); // Levenshtein distance, row by row.
+        std::vector<std::size_t> edits(name.size() + 1); // Current row of the Levenshtein matrix.
         std::iota(edits.begin(), edits.end(), 0);
         for (std::size_t i = 1; i <= word.size(); ++i) {
             std::size_t diagonal = edits[0]++;
--- a/src/fleet/declaration_func.h
+++ b/src/fleet/declaration_func.h
@@ -1,5 +1,5 @@
-/** @file declaration_func.h  Parses and checks one declaration's JSON after the table of sections. The same functions
- * serve `ctl validate`, the control members' test of an apply, and the entries. */
+/** @file declaration_func.h  Parses and validates the JSON of one declaration against the section table. `ctl
+ * validate`, the control members (before they accept an apply) and the entries share these functions. */
 #pragma once
 
 #include <string>
@@ -12,15 +12,15 @@
 namespace Chestnuthook
 {
 
-/** One fault of one field. */
+/** A validation fault of a field or of a whole item. */
 struct FieldFault
 {
-    std::vector<std::string> path; ///< Below the item: the field, then a key or list position in it; empty for all.
-    std::string what; ///< What is wrong.
-    std::string remedy; ///< What to do about it.
+    std::vector<std::string> path; ///< Field, then map key or list index; empty for the whole item.
+    std::string what; ///< Description of the fault.
+    std::string remedy; ///< Instruction that resolves the fault.
 };
 
-/** Each parser's errors are BadDeclaration, with the first faulty field and the remedy in the text. */
+/** The parsers fail with BadDeclaration; the message names the first faulty field and the remedy. */
 [[nodiscard]] Result<TenantDeclaration> parseTenant(const std::string &name, const std::string &json);
 [[nodiscard]] Result<ModelDeclaration> parseModel(const std::string &name, const std::string &json);
 [[nodiscard]] Result<AdapterDeclaration> parseAdapter(const std::string &name, const std::string &json);
@@ -29,20 +29,20 @@
 [[nodiscard]] Result<RouteDeclaration> parseRoute(const std::string &name, const std::string &json);
 [[nodiscard]] Result<SiteDeclaration> parseSite(const std::string &json);
 
-/** Whether a request to @p path of @p service needs no key: the service is open, or a route with this method leads to
- * the path or one below it. */
+/** Returns whether a request to @p path of @p service needs no API key: the service is open, or one of its routes
+ * allows @p method on the path or on a parent path. */
 [[nodiscard]] bool isOpenToAll(
     const ServiceDeclaration &service, const RouteTable &routes, const std::string &method, std::string_view path);
 
-/** All faults of one item of @p section. */
+/** Validates item @p name of @p section. @return all faults found; empty for a valid item. */
 [[nodiscard]] std::vector<FieldFault> declarationFaults(
     const std::string &section, const std::string &name, const std::string &json);
 
-/** Checks any declaration by its section; the error holds the first fault. */
+/** Validates a declaration of any section. @return BadDeclaration with the first fault if it isn't valid. */
 [[nodiscard]] Result<void> checkDeclaration(
     const std::string &section, const std::string &name, const std::string &json);
 
-/** The one of @p names that is within two edits of @p word and nearest to it; empty where there is none. */
+/** Returns the closest of @p names to @p word by edit distance, or an empty text if none is within two edits. */
 [[nodiscard]] std::string nearestName(std::string_view word, const std::vector<std::string_view> &names);
 
 } // namespace Chestnuthook
--- a/src/fleet/declaration_table.cpp
+++ b/src/fleet/declaration_table.cpp
@@ -1,4 +1,4 @@
-/** @file declaration_table.cpp  The rows of all sections. */
+/** @file declaration_table.cpp  Table of all declaration sections and their fields. */
 #include "fleet/declaration_table.h"
 
 #include <algorithm>
--- a/src/fleet/declaration_table.h
+++ b/src/fleet/declaration_table.h
@@ -1,5 +1,5 @@
-/** @file declaration_table.h  Sections of the declarations and their fields: one row a field drives the parsers, `ctl
- * validate` and the page of settings. */
+/** @file declaration_table.h  Sections of the declarations and their fields. The row of each field drives the parsers,
+ * `ctl validate` and the generated settings reference. */
 #pragma once
 
 #include <cstdint>
@@ -11,47 +11,48 @@
 namespace Chestnuthook
 {
 
-/** What a field's value must be. */
+/** Type of a field's value. */
 enum class FieldType : std::uint8_t {
-    Number, ///< With bounds.
-    Whole, ///< A whole number with bounds.
-    Flag, ///< true or false.
-    Text, ///< Not empty.
-    Texts, ///< A list of texts, each of them one of `allowed` where that isn't empty.
-    Counts, ///< A map of plain names to whole numbers with bounds.
+    Number, ///< Number within bounds.
+    Whole, ///< Integer within bounds.
+    Flag, ///< Boolean.
+    Text, ///< Non-empty text.
+    Texts, ///< List of texts; each one must be in `allowed` unless that is empty.
+    Counts, ///< Map of plain names to integers within bounds.
 };
 
-/** One field of a section's items. */
+/** Describes a field of a section's items. */
 struct FieldRow
 {
     std::string_view name; ///< Unique in its section.
-    FieldType type = FieldType::Text; ///< What its value must be.
-    double least = 0; ///< Lower bound of numbers.
-    double most = 0; ///< Upper bound of numbers.
-    double standard = 0; ///< Value of a number that isn't given.
-    bool required = false; ///< Must be given.
-    std::string_view reference; ///< Section that must declare the value; empty for none.
-    std::span<const std::string_view> allowed; ///< Values of texts; empty for any.
-    std::string_view meaning; ///< One line for the page of settings.
-    std::string_view remedy; ///< What to do where the value is wrong.
+    FieldType type = FieldType::Text; ///< Type of the value.
+    double minimum = 0; ///< Lower bound of numbers.
+    double maximum = 0; ///< Upper bound of numbers.
+    double defaultValue = 0; ///< Value of a number that is missing.
+    bool required = false; ///< The item is invalid without the field.
+    std::string_view reference; ///< Section in which the value must be declared; empty for no such check.
+    std::span<const std::string_view> allowed; ///< Valid texts; empty for any.
+    std::string_view meaning; ///< One-line description for the settings reference.
+    std::string_view remedy; ///< Instruction for a faulty value.
 };
 
-/** One section. */
+/** Describes a section of a declaration file. */
 struct SectionRow
 {
-    std::string_view name; ///< Key at the top of a declaration file.
-    bool single = false; ///< The section is itself one item, named like the section.
-    std::span<const FieldRow> fields; ///< Of each item.
-    std::string_view meaning; ///< One line for the page of settings.
+    std::string_view name; ///< Top-level key in a declaration file.
+    bool single = false; ///< The section is a single item that has the name of the section.
+    std::span<const FieldRow> fields; ///< Fields of each item.
+    std::string_view meaning; ///< One-line description for the settings reference.
 };
 
-/** All sections, in the order in which they are shown. */
+/** Returns all sections in display order. */
 [[nodiscard]] std::span<const SectionRow> declarationSections();
-/** The section of that name, or null. */
+/** Returns the section with this name, or null. */
 [[nodiscard]] const SectionRow *findSection(std::string_view name);
-/** The field of that name, or null. */
+/** Returns the field with this name, or null. */
 [[nodiscard]] const FieldRow *findField(const SectionRow &section, std::string_view name);
-/** Whether @p name may name an item: lower-case letters, digits, `-`, `_` and `.`, at most 64, a letter first. */
+/** Returns whether @p name is a valid item name: lower-case letters, digits, `-`, `_` and `.`, up to 64 characters, a
+ * letter first. */
 [[nodiscard]] bool isPlainName(std::string_view name);
 
 } // namespace Chestnuthook
--- a/src/fleet/declaration_type.h
+++ b/src/fleet/declaration_type.h
@@ -1,4 +1,4 @@
-/** @file declaration_type.h  Typed declarations, as parsed from the JSON of the fleet state. */
+/** @file declaration_type.h  Typed declarations that are parsed from the JSON in the fleet state. */
 #pragma once
 
 #include <cstdint>
@@ -11,71 +11,71 @@
 namespace Chestnuthook
 {
 
-/** A customer's share. */
+/** Rate limit and scheduling weight of a customer. */
 struct TenantDeclaration
 {
-    TenantId id; ///< Its name.
-    double ratePerSecond = 0; ///< Requests per second, counted over all entries.
-    double burst = 0; ///< Requests that may come at once.
-    double weight = 1; ///< Share of endpoints under overload, against the other tenants.
+    TenantId id;
+    double ratePerSecond = 0; ///< Rate limit in requests per second, shared by all entries.
+    double burst = 0; ///< Burst size in requests.
+    double weight = 1; ///< Share of the endpoints under overload, relative to other customers.
 };
 
-/** A model that callers may name. */
+/** A model that callers can request. */
 struct ModelDeclaration
 {
-    ModelId id; ///< Its name.
-    std::uint32_t maxTokens = 0; ///< Upper bound of a call's max_tokens.
-    std::int64_t timeoutMs = 0; ///< Deadline of a call in milliseconds.
-    std::uint32_t replicas = 0; ///< Endpoints that should serve it; 0 for all.
+    ModelId id;
+    std::uint32_t maxTokens = 0; ///< Maximum of max_tokens in a call.
+    std::int64_t timeoutMs = 0; ///< Timeout of a call in milliseconds.
+    std::uint32_t replicas = 0; ///< Number of endpoints to serve it; 0 for all.
 };
 
 /** An adapter of a model. */
 struct AdapterDeclaration
 {
-    std::string name; ///< Its name.
-    ModelId model; ///< Which model it adapts.
-    std::uint32_t version = 0; ///< Version that endpoints should load.
+    std::string name;
+    ModelId model; ///< Base model.
+    std::uint32_t version = 0; ///< Version to load on the endpoints.
 };
 
-/** A plain service that the system routes to. */
+/** A service other than a model that calls are routed to. */
 struct ServiceDeclaration
 {
-    ServiceId id; ///< Its name.
-    std::vector<std::string> idempotentMethods; ///< Methods that may be repeated.
-    std::int64_t timeoutMs = 0; ///< Deadline of a call in milliseconds.
-    bool open = false; ///< Requests need no key.
-    bool checksFencing = false; ///< Its endpoints refuse orders with an old fencing number.
+    ServiceId id;
+    std::vector<std::string> idempotentMethods; ///< HTTP methods that are safe to retry.
+    std::int64_t timeoutMs = 0; ///< Timeout of a call in milliseconds.
+    bool open = false; ///< Requests need no API key.
+    bool checksFencing = false; ///< Its endpoints reject orders with an outdated fencing token.
 };
 
-/** Endpoints that serve one model or one service. */
+/** A pool of endpoints that serve one model or one service. */
 struct PoolDeclaration
 {
-    std::string name; ///< Its name.
-    ModelId model; ///< Empty where it serves a service.
-    ServiceId service; ///< Empty where it serves a model.
-    std::map<DataCentreId, std::uint32_t> replicas; ///< Endpoints in each data centre.
-    bool checksFencing = false; ///< Its endpoints refuse orders with an old fencing number.
+    std::string name;
+    ModelId model; ///< Empty if the pool serves a service.
+    ServiceId service; ///< Empty if the pool serves a model.
+    std::map<DataCentreId, std::uint32_t> replicas; ///< Number of endpoints in each data centre.
+    bool checksFencing = false; ///< Its endpoints reject orders with an outdated fencing token.
 };
 
-/** Paths of a service that need no key. */
+/** Paths of a service that need no API key. */
 struct RouteDeclaration
 {
-    std::string name; ///< Its name.
-    ServiceId service; ///< Where it leads.
-    std::string path; ///< Start of the paths.
-    std::vector<std::string> methods; ///< HTTP methods.
+    std::string name;
+    ServiceId service; ///< Service that the route belongs to.
+    std::string path; ///< Path prefix.
+    std::vector<std::string> methods; ///< HTTP methods that need no API key.
 };
 
-using RouteTable = std::map<std::string, RouteDeclaration>; ///< By name.
+using RouteTable = std::map<std::string, RouteDeclaration>; ///< Routes by name.
 
-/** Settings of the whole site. */
+/** Settings that apply to the whole site. */
 struct SiteDeclaration
 {
-    std::uint64_t defaultCalls = 0; ///< Budget of a program that names none.
-    std::uint64_t defaultTokens = 0; ///< Budget of a program that names none.
-    std::uint64_t defaultMs = 0; ///< Budget of a program that names none, wall time.
-    std::uint32_t maxDepth = 0; ///< Levels of sub-agents.
-    std::int64_t retentionMs = 0; ///< How long ended programs are kept.
+    std::uint64_t defaultCalls = 0; ///< Call budget of a program that specifies none.
+    std::uint64_t defaultTokens = 0; ///< Token budget of a program that specifies none.
+    std::uint64_t defaultMs = 0; ///< Wall time budget in milliseconds of a program that specifies none.
+    std::uint32_t maxDepth = 0; ///< Maximum nesting depth of sub-agents.
+    std::int64_t retentionMs = 0; ///< Retention of ended programs in milliseconds.
 };
 
 } // namespace Chestnuthook
--- a/src/fleet/fleet_base.cpp
+++ b/src/fleet/fleet_base.cpp
@@ -1,4 +1,4 @@
-/** @file fleet_base.cpp  Deltas and snapshots of the fleet state. */
+/** @file fleet_base.cpp  Reads and writes deltas and snapshots of the fleet state. */
 #include "fleet/fleet_base.h"
 
 #include <utility>
@@ -82,23 +82,24 @@
     writeRecord(item, key, row.record);
 }
 
-/** Writes the rows changed after @p have; all, in the order of their keys, where that is 0. */
+/** Writes the rows changed after index @p knownIndex, or all rows in key order if @p knownIndex is 0. */
 template<typename Table>
-void writeChanges(const Table &table, std::uint64_t have, capnp::List<Wire::FleetItem>::Builder items, unsigned &next)
+void writeChanges(
+    const Table &table, std::uint64_t knownIndex, capnp::List<Wire::FleetItem>::Builder items, unsigned &next)
 {
-    if (have == 0) {
+    if (knownIndex == 0) {
         for (const auto &[key, row] : table.all()) {
             writeItem(items[next++], key, row);
         }
         return;
     }
-    table.forChangesAfter(have, [&](const auto &key, const auto &row) {
+    table.forChangesAfter(knownIndex, [&](const auto &key, const auto &row) {
         writeItem(items[next++], key, row);
     });
 }
 
 template<typename Table, typename Key, typename Record>
-void takeRow(Table &table, const Key &key, Record record, Wire::FleetItem::Reader item)
+void readRow(Table &table, const Key &key, Record record, Wire::FleetItem::Reader item)
 {
     table.put(key, std::move(record), item.getIndex());
     if (item.getRemoved()) {
@@ -106,19 +107,19 @@
     }
 }
 
-void takeItem(FleetState &state, Wire::FleetItem::Reader item)
+void readItem(FleetState &state, Wire::FleetItem::Reader item)
 {
     switch (item.which()) {
     case Wire::FleetItem::DECLARATION: {
         const auto declaration = item.getDeclaration();
-        takeRow(state.declarations, DeclarationName{textOf(declaration.getSection()), textOf(declaration.getName())},
+        readRow(state.declarations, DeclarationName{textOf(declaration.getSection()), textOf(declaration.getName())},
             DeclarationRecord{textOf(declaration.getJson())}, item);
         break;
     }
     case Wire::FleetItem::KEY: {
         const auto key = item.getKey();
         const KeyId id{textOf(key.getId())};
-        takeRow(state.keys, id,
+        readRow(state.keys, id,
             KeyRecord{id, TenantId{textOf(key.getTenant())}, bytesOf(key.getHash()), key.getWithdrawn(),
                 textOf(key.getNote())},
             item);
@@ -127,7 +128,7 @@
     case Wire::FleetItem::ENTRY: {
         const auto entry = item.getEntry();
         const EntryId id{textOf(entry.getId())};
-        takeRow(state.entries, id,
+        readRow(state.entries, id,
             EntryRecord{id, Epoch{entry.getEpoch()}, textOf(entry.getAddress()), textOf(entry.getRpcAddress()),
                 DataCentreId{textOf(entry.getDataCentre())},
                 entry.getState() == Wire::EntryState::DRAINING ? EntryState::Draining : EntryState::Live},
@@ -136,7 +137,7 @@
     }
     case Wire::FleetItem::SLOT: {
         const auto slot = item.getSlot();
-        takeRow(state.slots, SlotId{slot.getNumber()},
+        readRow(state.slots, SlotId{slot.getNumber()},
             SlotRecord{EntryId{textOf(slot.getOwner())}, Epoch{slot.getEpoch()}, EntryId{textOf(slot.getFormer())},
                 Epoch{slot.getFormerEpoch()}},
             item);
@@ -148,30 +149,30 @@
         for (const auto endpoint : strike.getEndpoints()) {
             record.endpoints.emplace_back(textOf(endpoint));
         }
-        takeRow(state.strikes, textOf(strike.getFingerprint()), std::move(record), item);
+        readRow(state.strikes, textOf(strike.getFingerprint()), std::move(record), item);
         break;
     }
     case Wire::FleetItem::ORDER: {
         const auto order = item.getOrder();
-        takeRow(state.orders, EndpointId{textOf(order.getEndpoint())},
+        readRow(state.orders, EndpointId{textOf(order.getEndpoint())},
             OrderRecord{textOf(order.getJson()), order.getFence(), order.getConfirmed()}, item);
         break;
     }
     }
 }
 
-constexpr std::uint32_t SnapshotVersion = 1; ///< Grows when a chunk changes its form.
+constexpr std::uint32_t SnapshotVersion = 1; ///< Increases with each change of the snapshot format.
 
 } // namespace
 
-void FleetState::writeDelta(std::uint64_t have, Wire::FleetDelta::Builder builder) const
+void FleetState::writeDelta(std::uint64_t knownIndex, Wire::FleetDelta::Builder builder) const
 {
-    const bool whole = have < this->oldestDelta || have > this->lastIndex || have == 0;
-    const std::uint64_t from = whole ? 0 : have;
+    const bool full = knownIndex < this->oldestDeltaIndex || knownIndex > this->lastIndex || knownIndex == 0;
+    const std::uint64_t from = full ? 0 : knownIndex;
     builder.setFrom(from);
     builder.setTo(this->lastIndex);
     builder.setRevision(this->declarationRevision.value);
-    builder.setWhole(whole);
+    builder.setWhole(full);
     const std::size_t count = this->declarations.countChangesAfter(from) + this->keys.countChangesAfter(from)
         + this->entries.countChangesAfter(from) + this->slots.countChangesAfter(from)
         + this->strikes.countChangesAfter(from) + this->orders.countChangesAfter(from);
@@ -191,13 +192,13 @@
         return false;
     }
     if (delta.getRevision() < this->declarationRevision.value || delta.getTo() < this->lastIndex) {
-        return false; // A copy never moves to an older state.
+        return false; // A replica never moves to an older state.
     }
     if (delta.getWhole()) {
         *this = FleetState{};
     }
     for (const auto item : delta.getItems()) {
-        takeItem(*this, item);
+        readItem(*this, item);
     }
     this->lastIndex = delta.getTo();
     this->declarationRevision = Revision{delta.getRevision()};
@@ -209,15 +210,15 @@
     capnp::MallocMessageBuilder builder;
     auto snapshot = builder.initRoot<Wire::FleetSnapshot>();
     snapshot.setVersion(SnapshotVersion);
-    snapshot.setOldestDelta(this->oldestDelta);
+    snapshot.setOldestDelta(this->oldestDeltaIndex);
     this->writeDelta(0, snapshot.initState());
-    auto replies = snapshot.initReplies(static_cast<unsigned>(this->replyOrder.size()));
+    auto replies = snapshot.initReplies(static_cast<unsigned>(this->cachedReplyOrder.size()));
     unsigned next = 0;
-    for (const auto &[index, requestId] : this->replyOrder) {
+    for (const auto &[index, requestId] : this->cachedReplyOrder) {
         auto reply = replies[next++];
         reply.setIndex(index);
         reply.setRequestId(wireText(requestId));
-        reply.setReply(dataOf(this->replies.at(requestId)));
+        reply.setReply(dataOf(this->cachedReplies.at(requestId)));
     }
     return flatBytes(builder);
 }
@@ -229,11 +230,11 @@
     KJ_REQUIRE(snapshot.getVersion() == SnapshotVersion, "unknown version of the fleet snapshot");
     *this = FleetState{};
     this->applyDelta(snapshot.getState());
-    this->oldestDelta = snapshot.getOldestDelta();
-    this->findEarliestExpiry();
+    this->oldestDeltaIndex = snapshot.getOldestDelta();
+    this->updateEarliestExpiry();
     for (const auto reply : snapshot.getReplies()) {
-        this->replies.emplace(textOf(reply.getRequestId()), bytesOf(reply.getReply()));
-        this->replyOrder.emplace(reply.getIndex(), textOf(reply.getRequestId()));
+        this->cachedReplies.emplace(textOf(reply.getRequestId()), bytesOf(reply.getReply()));
+        this->cachedReplyOrder.emplace(reply.getIndex(), textOf(reply.getRequestId()));
     }
 }
 
--- a/src/fleet/fleet_base.h
+++ b/src/fleet/fleet_base.h
@@ -1,5 +1,5 @@
-/** @file fleet_base.h  The replicated fleet state. Commands are tested against it and then executed by one function;
- * given the same log, all members hold the same state. No I/O and no clock. */
+/** @file fleet_base.h  The replicated state machine of the fleet. The same function validates and executes each
+ * command. It does no I/O and reads no clock, so that all members reach the same state from the same log. */
 #pragma once
 
 #include <cstdint>
@@ -16,33 +16,34 @@
 namespace Chestnuthook
 {
 
-/** Whether a command is only tested or also executed. */
+/** Whether a command is only validated or executed. */
 enum class CommandMode : std::uint8_t { Test, Execute };
 
 class FleetState
 {
 public:
-    /** Applies a committed command (flat Wire::FleetCommand) at @p index. @return the flat Wire::FleetReply. A command
-     * whose test fails changes nothing but the index. */
+    /** Applies a committed command (flat Wire::FleetCommand) at log index @p index. A command that fails validation
+     * changes only the index. @return the flat Wire::FleetReply. */
     std::string apply(std::uint64_t index, std::string_view command);
 
-    /** Tests @p command and, in mode Execute, executes it at @p index. @return a new lease's epoch, or 0. */
+    /** Validates @p command in mode Test, or executes it at log index @p index in mode Execute.
+     * @return the epoch of a newly granted lease, otherwise 0. */
     [[nodiscard]] Result<Epoch> doCommand(Wire::FleetCommand::Reader command, std::uint64_t index, CommandMode mode);
 
-    /** Writes the changes after @p have, or the whole state where that is too old. */
-    void writeDelta(std::uint64_t have, Wire::FleetDelta::Builder builder) const;
+    /** Writes the changes after index @p knownIndex, or the full state if no delta from there is possible. */
+    void writeDelta(std::uint64_t knownIndex, Wire::FleetDelta::Builder builder) const;
 
-    /** Takes in a delta from a control member; for copies at entries and tools.
-     * @return false where the delta doesn't follow this copy, which is then unchanged. */
+    /** Applies a delta from a control member to a replica in an entry or a tool.
+     * @return false if the delta doesn't continue from this state, which is left unchanged. */
     bool applyDelta(Wire::FleetDelta::Reader delta);
 
-    /** The whole state as a versioned snapshot. */
+    /** Returns the full state as a versioned snapshot. */
     [[nodiscard]] std::string snapshot() const;
 
-    /** Replaces the state by a snapshot's. @throws kj::Exception on a malformed one. */
+    /** Replaces the state with that of a snapshot. @throws kj::Exception if the snapshot is malformed. */
     void restore(std::string_view bytes);
 
-    /** Whether a strike has expired at @p nowMs, so that a prune command has something to do. */
+    /** Returns whether a strike has expired at @p nowMs, so that a prune command is due. */
     [[nodiscard]] bool hasExpiredStrikes(std::int64_t nowMs) const;
 
     [[nodiscard]] std::uint64_t index() const
@@ -54,12 +55,12 @@
         return this->declarationRevision;
     }
 
-    VersionedTable<DeclarationName, DeclarationRecord> declarations; ///< What operators declared.
-    VersionedTable<KeyId, KeyRecord> keys; ///< All keys; withdrawn ones stay, so that withdrawal is final.
-    VersionedTable<EntryId, EntryRecord> entries; ///< Leases.
-    VersionedTable<SlotId, SlotRecord> slots; ///< Owners; one row per slot once an entry was live.
-    VersionedTable<std::string, StrikeRecord> strikes; ///< By fingerprint.
-    VersionedTable<EndpointId, OrderRecord> orders; ///< By endpoint.
+    VersionedTable<DeclarationName, DeclarationRecord> declarations; ///< Declarations of the operators.
+    VersionedTable<KeyId, KeyRecord> keys; ///< API keys. Withdrawn keys are kept, so that a withdrawal is final.
+    VersionedTable<EntryId, EntryRecord> entries; ///< Leases of the entries.
+    VersionedTable<SlotId, SlotRecord> slots; ///< Slot owners; has a row for each slot once an entry has been live.
+    VersionedTable<std::string, StrikeRecord> strikes; ///< Strikes by request fingerprint.
+    VersionedTable<EndpointId, OrderRecord> orders; ///< Last order for each endpoint.
 
 private:
     Result<Epoch> doApply(Wire::FleetCommand::Reader command, std::uint64_t index, CommandMode mode);
@@ -72,21 +73,21 @@
     Result<Epoch> doOrder(Wire::FleetCommand::Reader command, std::uint64_t index, CommandMode mode);
     Result<Epoch> doPrune(Wire::FleetCommand::Reader command, std::uint64_t index, CommandMode mode);
     void pruneTombstones();
-    void findEarliestExpiry();
+    void updateEarliestExpiry();
 
-    /** Gives every slot a live owner, moving as few as an even spread allows. */
+    /** Assigns each slot to a live entry, evenly and with as few moves as possible. */
     void assignSlots(std::uint64_t index);
-    void rememberReply(const std::string &requestId, std::string reply);
+    void cacheReply(const std::string &requestId, std::string reply);
 
     std::uint64_t lastIndex = 0; ///< Log index of the last applied command.
-    Revision declarationRevision; ///< Grows by one with each accepted apply.
-    std::map<std::string, std::string> replies; ///< First replies by request id, so that a resend gets the same.
-    std::map<std::uint64_t, std::string> replyOrder; ///< Request ids by index, oldest first, to bound `replies`.
-    std::int64_t earliestExpiry = INT64_MAX; ///< No strike expires before this; not kept by copies at entries.
-    std::uint64_t oldestDelta = 0; ///< Copies older than this get a whole copy: tombstones before it are pruned.
+    Revision declarationRevision; ///< Incremented with each accepted apply.
+    std::map<std::string, std::string> cachedReplies; ///< First replies by request id; a resent command gets the same.
+    std::map<std::uint64_t, std::string> cachedReplyOrder; ///< Request ids by log index, to evict the oldest reply.
+    std::int64_t earliestExpiry = INT64_MAX; ///< No strike expires earlier. Replicas in entries don't maintain it.
+    std::uint64_t oldestDeltaIndex = 0; ///< Older replicas need the full state, as earlier tombstones are pruned.
 };
 
-/** The slot of a program or tenant. */
+/** Returns the slot of a program or customer. */
 [[nodiscard]] SlotId slotOf(std::string_view id);
 
 } // namespace Chestnuthook
--- a/src/fleet/fleet_cmd.cpp
+++ b/src/fleet/fleet_cmd.cpp
@@ -1,4 +1,4 @@
-/** @file fleet_cmd.cpp  Commands on the fleet state: each is tested, then executed, by one function. */
+/** @file fleet_cmd.cpp  Commands on the fleet state. One function per command validates and executes it. */
 #include "fleet/fleet_base.h"
 
 #include <algorithm>
@@ -17,9 +17,9 @@
 namespace
 {
 
-constexpr std::size_t MaxRememberedReplies = 4096;
+constexpr std::size_t MaxCachedReplies = 4096;
 constexpr std::size_t KeyHashBytes = 32;
-constexpr std::uint64_t TombstoneEntries = 5000; ///< Log entries for which a tombstone is kept at least.
+constexpr std::uint64_t MinTombstoneLogEntries = 5000; ///< Minimum number of log entries that a tombstone is kept for.
 
 void writeReply(Wire::FleetReply::Builder reply, const Result<Epoch> &result)
 {
@@ -32,7 +32,7 @@
     }
 }
 
-Result<Epoch> checkChanges(capnp::List<Wire::Declaration>::Reader changes)
+Result<Epoch> validateChanges(capnp::List<Wire::Declaration>::Reader changes)
 {
     for (const auto change : changes) {
         if (change.getJson().size() == 0) {
@@ -54,10 +54,10 @@
     FlatMessage message(command);
     const auto reader = message.root<Wire::FleetCommand>();
     const std::string requestId = textOf(reader.getRequestId());
-    const auto remembered = this->replies.find(requestId);
-    if (!requestId.empty() && remembered != this->replies.end()) {
+    const auto cached = this->cachedReplies.find(requestId);
+    if (!requestId.empty() && cached != this->cachedReplies.end()) {
         this->lastIndex = index;
-        return remembered->second;
+        return cached->second;
     }
     Result<Epoch> result = this->doCommand(reader, index, CommandMode::Test);
     if (result) {
@@ -72,7 +72,7 @@
     writeReply(reply, result);
     std::string bytes = flatBytes(builder);
     if (!requestId.empty()) {
-        this->rememberReply(requestId, bytes);
+        this->cacheReply(requestId, bytes);
     }
     return bytes;
 }
@@ -111,7 +111,7 @@
                 + std::to_string(this->declarationRevision.value));
     }
     if (mode == CommandMode::Test) {
-        return checkChanges(apply.getChanges());
+        return validateChanges(apply.getChanges());
     }
     for (const auto change : apply.getChanges()) {
         const DeclarationName name{textOf(change.getSection()), textOf(change.getName())};
@@ -223,8 +223,10 @@
     }
     const StrikeRecord *known = this->strikes.find(fingerprint);
     if (strike.getEndpoints().size() == 0) {
+        // The request ran in isolation without a failure, which clears a suspect with a single strike. A request that
+        // is refused for more strikes stays refused.
         if (known != nullptr && known->strikes == 1) {
-            this->strikes.remove(fingerprint, index); // A suspect that ran well alone. Refused requests stay refused.
+            this->strikes.remove(fingerprint, index);
         }
         return Epoch{};
     }
@@ -273,11 +275,11 @@
     for (const std::string &fingerprint : expired) {
         this->strikes.remove(fingerprint, index);
     }
-    this->findEarliestExpiry();
+    this->updateEarliestExpiry();
     return Epoch{};
 }
 
-void FleetState::findEarliestExpiry()
+void FleetState::updateEarliestExpiry()
 {
     this->earliestExpiry = INT64_MAX;
     for (const auto &[fingerprint, row] : this->strikes.all()) {
@@ -297,18 +299,18 @@
     });
 }
 
-/** Entries and strikes come and go for ever; without this their tombstones would fill the memory. Keys stay: they are
- * marked as withdrawn and never removed. */
+/** Removes old tombstones. Entries and strikes are added and removed all the time, so that their tombstones would grow
+ * without bound. Keys need no pruning, as they are marked as withdrawn and never removed. */
 void FleetState::pruneTombstones()
 {
-    if (this->lastIndex < this->oldestDelta + 2 * TombstoneEntries) {
+    if (this->lastIndex < this->oldestDeltaIndex + 2 * MinTombstoneLogEntries) {
         return;
     }
-    this->oldestDelta = this->lastIndex - TombstoneEntries;
-    this->declarations.prune(this->oldestDelta);
-    this->entries.prune(this->oldestDelta);
-    this->strikes.prune(this->oldestDelta);
-    this->orders.prune(this->oldestDelta);
+    this->oldestDeltaIndex = this->lastIndex - MinTombstoneLogEntries;
+    this->declarations.prune(this->oldestDeltaIndex);
+    this->entries.prune(this->oldestDeltaIndex);
+    this->strikes.prune(this->oldestDeltaIndex);
+    this->orders.prune(this->oldestDeltaIndex);
 }
 
 void FleetState::assignSlots(std::uint64_t index)
@@ -321,41 +323,41 @@
     }
     const std::size_t live = owned.size();
     const std::size_t share = live == 0 ? 0 : (SlotCount + live - 1) / live;
-    std::vector<SlotId> homeless;
+    std::vector<SlotId> unassigned;
     for (std::uint16_t number = 0; number < SlotCount; ++number) {
         const SlotId slot{number};
         const SlotRecord *record = this->slots.find(slot);
         const auto owner = record == nullptr ? owned.end() : owned.find(record->owner);
         if (owner == owned.end() || owner->second.size() >= share) {
-            homeless.push_back(slot);
+            unassigned.push_back(slot);
         } else {
             owner->second.push_back(slot);
         }
     }
-    for (const SlotId slot : homeless) {
+    for (const SlotId slot : unassigned) {
         const SlotRecord *record = this->slots.find(slot);
-        const auto least = std::min_element(owned.begin(), owned.end(), [](const auto &left, const auto &right) {
+        const auto leastLoaded = std::min_element(owned.begin(), owned.end(), [](const auto &left, const auto &right) {
             return left.second.size() < right.second.size();
         });
-        const EntryId owner = least == owned.end() ? EntryId{} : least->first;
+        const EntryId owner = leastLoaded == owned.end() ? EntryId{} : leastLoaded->first;
         if (record != nullptr && record->owner == owner) {
             continue;
         }
-        if (least != owned.end()) {
-            least->second.push_back(slot);
+        if (leastLoaded != owned.end()) {
+            leastLoaded->second.push_back(slot);
         }
-        const SlotRecord before = record == nullptr ? SlotRecord{} : *record;
-        this->slots.put(slot, SlotRecord{owner, Epoch{index}, before.owner, before.epoch}, index);
+        const SlotRecord previous = record == nullptr ? SlotRecord{} : *record;
+        this->slots.put(slot, SlotRecord{owner, Epoch{index}, previous.owner, previous.epoch}, index);
     }
 }
 
-void FleetState::rememberReply(const std::string &requestId, std::string reply)
+void FleetState::cacheReply(const std::string &requestId, std::string reply)
 {
-    this->replies.emplace(requestId, std::move(reply));
-    this->replyOrder.emplace(this->lastIndex, requestId);
-    if (this->replyOrder.size() > MaxRememberedReplies) {
-        this->replies.erase(this->replyOrder.begin()->second);
-        this->replyOrder.erase(this->replyOrder.begin());
+    this->cachedReplies.emplace(requestId, std::move(reply));
+    this->cachedReplyOrder.emplace(this->lastIndex, requestId);
+    if (this->cachedReplyOrder.size() > MaxCachedReplies) {
+        this->cachedReplies.erase(this->cachedReplyOrder.begin()->second);
+        this->cachedReplyOrder.erase(this->cachedReplyOrder.begin());
     }
 }
 
--- a/src/fleet/fleet_type.h
+++ b/src/fleet/fleet_type.h
@@ -11,9 +11,9 @@
 namespace Chestnuthook
 {
 
-constexpr std::uint16_t SlotCount = 1024; ///< Shares of all programs and tenants; a slot has one owner at a time.
+constexpr std::uint16_t SlotCount = 1024; ///< Hash slots of programs and customers; each has at most one owner.
 
-/** Names one declaration: its section and its name in it. */
+/** Key of a declaration. */
 struct DeclarationName
 {
     std::string section; ///< "tenants", "models", "services", …
@@ -21,58 +21,58 @@
     auto operator<=>(const DeclarationName &) const = default;
 };
 
-/** One declared object as JSON. */
+/** A declared object. */
 struct DeclarationRecord
 {
-    std::string json; ///< Checked before it was applied.
+    std::string json; ///< Validated before it is applied.
 };
 
-/** A caller's key; the key itself is never stored. */
+/** An API key of a caller. Only its hash is stored. */
 struct KeyRecord
 {
-    KeyId id; ///< Shown to operators.
-    TenantId tenant; ///< For whom requests with this key run.
-    std::string hash; ///< SHA-256 of the key, raw.
-    bool withdrawn = false; ///< Final once set: no command clears it.
-    std::string note; ///< Free text of the operator.
+    KeyId id; ///< Public id for operators.
+    TenantId tenant; ///< Customer that requests with this key are charged to.
+    std::string hash; ///< Binary SHA-256 of the key.
+    bool withdrawn = false; ///< No command clears this flag.
+    std::string note; ///< Free text from the operator.
 };
 
 enum class EntryState : std::uint8_t { Live, Draining };
 
-/** The lease of one entry. */
+/** The lease of an entry. */
 struct EntryRecord
 {
-    EntryId id; ///< Identity of the process; a restarted process has a new one.
-    Epoch epoch; ///< Log index of the grant, so it is never used twice.
-    std::string address; ///< For callers.
-    std::string rpcAddress; ///< For other entries.
-    DataCentreId dataCentre; ///< From the entry's settings.
-    EntryState state = EntryState::Live; ///< A draining entry gets no slots.
+    EntryId id; ///< Identity of the process; changes with a restart.
+    Epoch epoch; ///< Log index of the grant and therefore unique.
+    std::string address; ///< Address for callers.
+    std::string rpcAddress; ///< Address for RPCs from other entries.
+    DataCentreId dataCentre; ///< Data centre from the settings of the entry.
+    EntryState state = EntryState::Live; ///< Draining entries own no slots.
 };
 
-/** Who owns a slot. */
+/** Ownership of a slot. */
 struct SlotRecord
 {
-    EntryId owner; ///< Empty where no entry is live.
-    Epoch epoch; ///< Grows with each change of owner.
-    EntryId former; ///< Owner before this one.
-    Epoch formerEpoch; ///< Its epoch; 0 where the slot never had another record.
+    EntryId owner; ///< Empty if no entry is live.
+    Epoch epoch; ///< Increases with each change of owner.
+    EntryId former; ///< Previous owner.
+    Epoch formerEpoch; ///< Epoch of the previous owner; 0 for the first record of the slot.
 };
 
-/** A request that was in flight where endpoints died. */
+/** A request that was in flight on endpoints when they failed. */
 struct StrikeRecord
 {
-    std::uint32_t strikes = 0; ///< Deaths that it is suspected of.
-    std::vector<EndpointId> endpoints; ///< Where.
-    std::int64_t expiresAtMs = 0; ///< After this it counts as clean.
+    std::uint32_t strikes = 0; ///< Number of endpoint failures that the request may have caused.
+    std::vector<EndpointId> endpoints; ///< Endpoints that failed.
+    std::int64_t expiresAtMs = 0; ///< Time at which the strikes expire.
 };
 
-/** The last order given to an endpoint. */
+/** The last order that was issued to an endpoint. */
 struct OrderRecord
 {
-    std::string json; ///< As sent.
-    std::uint64_t fence = 0; ///< Never lower than that of an earlier order for this endpoint.
-    bool confirmed = false; ///< The endpoint has carried it out.
+    std::string json; ///< Order as sent to the endpoint.
+    std::uint64_t fence = 0; ///< Fencing token; never decreases for an endpoint.
+    bool confirmed = false; ///< The endpoint has executed the order.
 };
 
 } // namespace Chestnuthook
--- a/src/fleet/versioned_table_type.h
+++ b/src/fleet/versioned_table_type.h
@@ -1,5 +1,5 @@
-/** @file versioned_table_type.h  A table that knows at which log index each record changed last, so that any holder of
- * an older copy is sent just the changes. Removed records stay as tombstones until they are pruned. */
+/** @file versioned_table_type.h  A table that stores the log index of the last change of each record, so that holders
+ * of an older copy are sent only the changes. Removed records stay as tombstones until they are pruned. */
 #pragma once
 
 #include <algorithm>
@@ -19,9 +19,9 @@
 public:
     struct Row
     {
-        Record record; ///< The record; the last one where it was removed.
+        Record record; ///< Current record, or the last one before its removal.
         std::uint64_t index = 0; ///< Log index of the last change.
-        bool removed = false; ///< A tombstone.
+        bool removed = false; ///< The row is a tombstone.
     };
 
     VersionedTable() = default;
@@ -40,64 +40,64 @@
         return *this = VersionedTable(other);
     }
 
-    /** Sets the record of @p key as of @p index. */
+    /** Sets the record of @p key at log index @p index. */
     void put(const Key &key, Record record, std::uint64_t index)
     {
         const auto row = this->rows.try_emplace(key).first;
-        this->setIndex(row, index);
+        this->updateIndex(row, index);
         row->second.record = std::move(record);
         row->second.removed = false;
     }
 
-    /** Leaves a tombstone for @p key as of @p index; nothing where it isn't there. */
+    /** Replaces the record of @p key with a tombstone at log index @p index. Does nothing if there is no row. */
     void remove(const Key &key, std::uint64_t index)
     {
         const auto row = this->rows.find(key);
         if (row != this->rows.end()) {
-            this->setIndex(row, index);
+            this->updateIndex(row, index);
             row->second.removed = true;
         }
     }
 
-    /** The live record of @p key, or null. */
+    /** Returns the live record of @p key, or null. */
     [[nodiscard]] const Record *find(const Key &key) const
     {
         const auto row = this->rows.find(key);
         return row == this->rows.end() || row->second.removed ? nullptr : &row->second.record;
     }
 
-    /** All rows with tombstones, in the order of their keys. */
+    /** Returns all rows, including tombstones, in key order. */
     [[nodiscard]] const std::map<Key, Row> &all() const
     {
         return this->rows;
     }
 
-    /** Calls @p take with the key and row of each change after @p index, tombstones too, the oldest change first. The
-     * cost grows with the number of changes and not with the table. */
-    template<typename Take>
-    void forChangesAfter(std::uint64_t index, Take &&take) const
+    /** Calls @p visitor with the key and row of each row changed after @p index, including tombstones, in order of
+     * change. The cost depends on the number of changes, not on the size of the table. */
+    template<typename Visitor>
+    void forChangesAfter(std::uint64_t index, Visitor &&visitor) const
     {
-        for (auto at = this->changes.lower_bound({index + 1, nullptr}); at != this->changes.end(); ++at) {
-            take(*at->second, this->rows.find(*at->second)->second);
+        for (auto change = this->changes.lower_bound({index + 1, nullptr}); change != this->changes.end(); ++change) {
+            visitor(*change->second, this->rows.find(*change->second)->second);
         }
     }
 
-    /** How many rows changed after @p index. */
+    /** Returns the number of rows changed after @p index, including tombstones. */
     [[nodiscard]] std::size_t countChangesAfter(std::uint64_t index) const
     {
         return static_cast<std::size_t>(
             std::distance(this->changes.lower_bound({index + 1, nullptr}), this->changes.end()));
     }
 
-    /** Drops tombstones older than @p index. */
+    /** Removes the tombstones older than @p index. */
     void prune(std::uint64_t index)
     {
         std::erase_if(this->rows, [this, index](const auto &row) {
-            const bool old = row.second.removed && row.second.index < index;
-            if (old) {
+            const bool expired = row.second.removed && row.second.index < index;
+            if (expired) {
                 this->changes.erase({row.second.index, &row.first});
             }
-            return old;
+            return expired;
         });
     }
 
@@ -109,15 +109,15 @@
     }
 
 private:
-    void setIndex(typename std::map<Key, Row>::iterator row, std::uint64_t index)
+    void updateIndex(typename std::map<Key, Row>::iterator row, std::uint64_t index)
     {
         this->changes.erase({row->second.index, &row->first});
         this->changes.emplace(index, &row->first);
         row->second.index = index;
     }
 
-    std::map<Key, Row> rows; ///< Ordered, so that snapshots of equal states are equal.
-    std::set<std::pair<std::uint64_t, const Key *>> changes; ///< The index of each row, with its key inside `rows`.
+    std::map<Key, Row> rows; ///< Sorted by key, so that equal states have equal snapshots.
+    std::set<std::pair<std::uint64_t, const Key *>> changes; ///< Index of each row and a pointer to its key in `rows`.
 };
 
 } // namespace Chestnuthook
--- a/tests/unit/fleet_test.cpp
+++ b/tests/unit/fleet_test.cpp
@@ -1,4 +1,4 @@
-/** @file fleet_test.cpp  Commands on the fleet state, and copies of it that follow by deltas. */
+/** @file fleet_test.cpp  Tests of the commands on the fleet state and of replicas that are updated by deltas. */
 #define BOOST_TEST_MODULE fleet
 #include <boost/test/unit_test.hpp>
 
@@ -15,11 +15,11 @@
 namespace
 {
 
-using Fill = std::function<void(Wire::FleetCommand::Builder)>;
+using CommandFiller = std::function<void(Wire::FleetCommand::Builder)>;
 
 constexpr std::size_t HashBytes = 32;
 
-std::string commandOf(const Fill &fill, const std::string &requestId = "", std::int64_t nowMs = 0)
+std::string makeCommand(const CommandFiller &fill, const std::string &requestId = "", std::int64_t nowMs = 0)
 {
     capnp::MallocMessageBuilder message;
     auto command = message.initRoot<Wire::FleetCommand>();
@@ -29,14 +29,15 @@
     return flatBytes(message);
 }
 
-std::string codeOf(const std::string &reply)
+std::string errorCodeOf(const std::string &reply)
 {
     FlatMessage message(reply);
     const auto read = message.root<Wire::FleetReply>();
     return read.isFailure() ? textOf(read.getFailure().getCode()) : "";
 }
 
-Fill applyOf(std::uint64_t expected, const std::string &section, const std::string &name, const std::string &json)
+CommandFiller applyCommand(
+    std::uint64_t expected, const std::string &section, const std::string &name, const std::string &json)
 {
     return [=](Wire::FleetCommand::Builder command) {
         auto apply = command.initApply();
@@ -48,7 +49,7 @@
     };
 }
 
-Fill issueOf(const std::string &id, const std::string &tenant)
+CommandFiller issueKeyCommand(const std::string &id, const std::string &tenant)
 {
     return [=](Wire::FleetCommand::Builder command) {
         auto key = command.initIssueKey();
@@ -58,14 +59,14 @@
     };
 }
 
-Fill withdrawOf(const std::string &id)
+CommandFiller withdrawKeyCommand(const std::string &id)
 {
     return [=](Wire::FleetCommand::Builder command) {
         command.setWithdrawKey(id);
     };
 }
 
-Fill leaseOf(const std::string &id)
+CommandFiller grantLeaseCommand(const std::string &id)
 {
     return [=](Wire::FleetCommand::Builder command) {
         auto entry = command.initGrantLease();
@@ -74,7 +75,7 @@
     };
 }
 
-Fill strikeOf(const std::string &fingerprint, const std::string &endpoint, std::int64_t expiresAtMs)
+CommandFiller strikeCommand(const std::string &fingerprint, const std::string &endpoint, std::int64_t expiresAtMs)
 {
     return [=](Wire::FleetCommand::Builder command) {
         auto strike = command.initStrike();
@@ -84,16 +85,16 @@
     };
 }
 
-/** A state with the tenant `one` at revision 1, after index 1. */
+/** Returns a state that declares the customer `one`, at revision 1 and log index 1. */
 FleetState stateWithTenant()
 {
     FleetState state;
-    const std::string reply = state.apply(1, commandOf(applyOf(0, "tenants", "one", R"({"rate":5,"burst":5})")));
-    BOOST_REQUIRE_MESSAGE(codeOf(reply).empty(), codeOf(reply));
+    const std::string reply = state.apply(1, makeCommand(applyCommand(0, "tenants", "one", R"({"rate":5,"burst":5})")));
+    BOOST_REQUIRE_MESSAGE(errorCodeOf(reply).empty(), errorCodeOf(reply));
     return state;
 }
 
-void follow(FleetState &copy, const FleetState &state)
+void applyDeltaFrom(FleetState &copy, const FleetState &state)
 {
     capnp::MallocMessageBuilder message;
     auto delta = message.initRoot<Wire::FleetDelta>();
@@ -101,8 +102,8 @@
     BOOST_REQUIRE(copy.applyDelta(delta.asReader()));
 }
 
-/** Both as whole states; tombstones that only one holds don't count. */
-bool equal(const FleetState &left, const FleetState &right)
+/** Compares two states without tombstones, which a replica may lack. */
+bool liveStatesEqual(const FleetState &left, const FleetState &right)
 {
     const auto live = [](const FleetState &state) {
         std::string text = std::to_string(state.revision().value) + "@" + std::to_string(state.index());
@@ -128,22 +129,22 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(of_equal_expected_revisions_one_wins_and_the_loser_learns_the_current_one)
+BOOST_AUTO_TEST_CASE(apply_with_stale_revision_is_rejected_with_current_revision)
 {
     FleetState state = stateWithTenant();
-    BOOST_TEST(codeOf(state.apply(2, commandOf(applyOf(1, "services", "a", "{}")))).empty());
-    const std::string lost = state.apply(3, commandOf(applyOf(1, "services", "b", "{}")));
-    BOOST_TEST(codeOf(lost) == "stale_revision");
+    BOOST_TEST(errorCodeOf(state.apply(2, makeCommand(applyCommand(1, "services", "a", "{}")))).empty());
+    const std::string lost = state.apply(3, makeCommand(applyCommand(1, "services", "b", "{}")));
+    BOOST_TEST(errorCodeOf(lost) == "stale_revision");
     FlatMessage message(lost);
     BOOST_TEST(message.root<Wire::FleetReply>().getRevision() == 2U);
     BOOST_TEST(state.revision().value == 2U);
     BOOST_TEST((state.declarations.find(DeclarationName{"services", "b"}) == nullptr));
 }
 
-BOOST_AUTO_TEST_CASE(a_resend_gets_the_first_answer_also_after_a_snapshot_and_changes_nothing)
+BOOST_AUTO_TEST_CASE(resent_command_returns_first_reply_even_after_snapshot)
 {
     FleetState state = stateWithTenant();
-    const std::string command = commandOf(applyOf(1, "services", "a", "{}"), "request-1");
+    const std::string command = makeCommand(applyCommand(1, "services", "a", "{}"), "request-1");
     const std::string first = state.apply(2, command);
     BOOST_TEST(state.apply(3, command) == first);
     FleetState restored;
@@ -152,77 +153,80 @@
     BOOST_TEST(restored.revision().value == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(a_withdrawal_is_final)
+BOOST_AUTO_TEST_CASE(withdrawn_key_stays_withdrawn)
 {
     FleetState state = stateWithTenant();
-    BOOST_TEST(codeOf(state.apply(2, commandOf(issueOf("k", "one")))).empty());
-    BOOST_TEST(codeOf(state.apply(3, commandOf(withdrawOf("k")))).empty());
-    BOOST_TEST(codeOf(state.apply(4, commandOf(issueOf("k", "one")))) == "conflict"); // Not by issuing it again,
-    state.apply(5, commandOf(applyOf(1, "tenants", "one", ""))); // nor by removing its tenant
-    state.apply(6, commandOf(applyOf(2, "tenants", "one", R"({"rate":5,"burst":5})"))); // and bringing it back.
+    BOOST_TEST(errorCodeOf(state.apply(2, makeCommand(issueKeyCommand("k", "one")))).empty());
+    BOOST_TEST(errorCodeOf(state.apply(3, makeCommand(withdrawKeyCommand("k")))).empty());
+    BOOST_TEST(errorCodeOf(state.apply(4, makeCommand(issueKeyCommand("k", "one"))))
+        == "conflict"); // Can't be undone by issuing the key again,
+    state.apply(5, makeCommand(applyCommand(1, "tenants", "one", ""))); // nor by removing its customer
+    state.apply(
+        6, makeCommand(applyCommand(2, "tenants", "one", R"({"rate":5,"burst":5})"))); // and declaring it again.
     BOOST_TEST(state.keys.find(KeyId{"k"})->withdrawn);
     FleetState restored;
     restored.restore(state.snapshot());
     BOOST_TEST(restored.keys.find(KeyId{"k"})->withdrawn);
 }
 
-BOOST_AUTO_TEST_CASE(two_strikes_count_and_expire_by_command)
+BOOST_AUTO_TEST_CASE(strikes_count_distinct_endpoints_and_expire_by_prune)
 {
     FleetState state;
-    state.apply(1, commandOf(strikeOf("f", "e1", 100), "", 10));
-    state.apply(2, commandOf(strikeOf("f", "e1", 100), "", 20)); // The same death, reported by another entry.
+    state.apply(1, makeCommand(strikeCommand("f", "e1", 100), "", 10));
+    state.apply(
+        2, makeCommand(strikeCommand("f", "e1", 100), "", 20)); // The same endpoint failure, reported by another entry.
     BOOST_TEST(state.strikes.find("f")->strikes == 1U);
-    state.apply(3, commandOf(strikeOf("f", "e2", 150), "", 30));
+    state.apply(3, makeCommand(strikeCommand("f", "e2", 150), "", 30));
     BOOST_TEST(state.strikes.find("f")->strikes == 2U);
     BOOST_TEST(!state.hasExpiredStrikes(149));
     BOOST_TEST(state.hasExpiredStrikes(150));
-    FleetState restored; // A new leader that came by a snapshot prunes too.
+    FleetState restored; // A new leader that restored a snapshot has to prune too.
     restored.restore(state.snapshot());
     BOOST_TEST(!restored.hasExpiredStrikes(149));
     BOOST_TEST(restored.hasExpiredStrikes(150));
     const auto prune = [](Wire::FleetCommand::Builder command) {
         command.setPrune();
     };
-    state.apply(4, commandOf(prune, "", 149));
+    state.apply(4, makeCommand(prune, "", 149));
     BOOST_TEST((state.strikes.find("f") != nullptr));
-    state.apply(5, commandOf(prune, "", 150));
+    state.apply(5, makeCommand(prune, "", 150));
     BOOST_TEST((state.strikes.find("f") == nullptr));
 }
 
-BOOST_AUTO_TEST_CASE(a_later_order_is_never_replaced_by_an_earlier_leaders)
+BOOST_AUTO_TEST_CASE(order_with_older_fencing_token_is_rejected)
 {
     FleetState state;
     const auto order = [](std::uint64_t fence) {
-        return commandOf([=](Wire::FleetCommand::Builder command) {
+        return makeCommand([=](Wire::FleetCommand::Builder command) {
             auto given = command.initOrder();
             given.setEndpoint("e");
             given.setFence(fence);
         });
     };
-    BOOST_TEST(codeOf(state.apply(1, order(3))).empty());
-    BOOST_TEST(codeOf(state.apply(2, order(2))) == "stale_epoch");
-    BOOST_TEST(codeOf(state.apply(3, order(3))).empty());
+    BOOST_TEST(errorCodeOf(state.apply(1, order(3))).empty());
+    BOOST_TEST(errorCodeOf(state.apply(2, order(2))) == "stale_epoch");
+    BOOST_TEST(errorCodeOf(state.apply(3, order(3))).empty());
 }
 
-BOOST_AUTO_TEST_CASE(copies_that_look_in_at_any_time_equal_the_state_also_across_pruned_gaps)
+BOOST_AUTO_TEST_CASE(deltas_reproduce_state_across_pruned_tombstones)
 {
     std::mt19937_64 random(4);
     FleetState state = stateWithTenant();
-    FleetState near;
-    FleetState far;
+    FleetState frequentCopy;
+    FleetState staleCopy;
     std::uint64_t index = 1;
-    const auto next = [&](const Fill &fill) {
+    const auto next = [&](const CommandFiller &fill) {
         ++index;
-        state.apply(index, commandOf(fill, "", static_cast<std::int64_t>(index)));
+        state.apply(index, makeCommand(fill, "", static_cast<std::int64_t>(index)));
     };
     for (int i = 0; i < 14000; ++i) {
         const std::string name = std::to_string(random() % 20);
         switch (random() % 5) {
         case 0:
-            next(leaseOf("entry-" + std::to_string(random() % 3)));
+            next(grantLeaseCommand("entry-" + std::to_string(random() % 3)));
             break;
         case 1:
-            next(strikeOf(name, "e", static_cast<std::int64_t>(index + 50)));
+            next(strikeCommand(name, "e", static_cast<std::int64_t>(index + 50)));
             break;
         case 2:
             next([](Wire::FleetCommand::Builder command) {
@@ -230,25 +234,25 @@
             });
             break;
         case 3:
-            next(applyOf(state.revision().value, "services", name, random() % 2 == 0 ? "" : "{}"));
+            next(applyCommand(state.revision().value, "services", name, random() % 2 == 0 ? "" : "{}"));
             break;
         default:
-            next(random() % 2 == 0 ? issueOf(name, "one") : withdrawOf(name));
+            next(random() % 2 == 0 ? issueKeyCommand(name, "one") : withdrawKeyCommand(name));
             break;
         }
         if (random() % 50 == 0) {
-            follow(near, state);
-            BOOST_REQUIRE(equal(near, state));
+            applyDeltaFrom(frequentCopy, state);
+            BOOST_REQUIRE(liveStatesEqual(frequentCopy, state));
         }
     }
-    follow(far, state); // Its index lies before the pruned tombstones.
-    BOOST_TEST(equal(far, state));
+    applyDeltaFrom(staleCopy, state); // Its index is older than the pruned tombstones.
+    BOOST_TEST(liveStatesEqual(staleCopy, state));
     FleetState late = stateWithTenant();
-    follow(late, state);
-    BOOST_TEST(equal(late, state));
+    applyDeltaFrom(late, state);
+    BOOST_TEST(liveStatesEqual(late, state));
     FleetState restored;
     restored.restore(state.snapshot());
-    BOOST_TEST(equal(restored, state));
+    BOOST_TEST(liveStatesEqual(restored, state));
     std::size_t tombstones = 0;
     for (const auto &[fingerprint, row] : state.strikes.all()) {
         tombstones += row.removed ? 1 : 0;
@@ -256,15 +260,15 @@
     BOOST_TEST(tombstones <= 20U);
 }
 
-BOOST_AUTO_TEST_CASE(a_copy_never_moves_to_an_older_state)
+BOOST_AUTO_TEST_CASE(delta_to_older_state_is_rejected)
 {
     FleetState state = stateWithTenant();
     capnp::MallocMessageBuilder message;
     auto old = message.initRoot<Wire::FleetDelta>();
     state.writeDelta(0, old);
-    state.apply(2, commandOf(applyOf(1, "services", "a", "{}")));
+    state.apply(2, makeCommand(applyCommand(1, "services", "a", "{}")));
     FleetState copy;
-    follow(copy, state);
+    applyDeltaFrom(copy, state);
     BOOST_TEST(!copy.applyDelta(old.asReader()));
     BOOST_TEST(copy.revision().value == 2U);
 }
