--- a/fuzz/declaration_fuzz.cpp
+++ b/fuzz/declaration_fuzz.cpp
@@ -1,12 +1,12 @@
-/** @file declaration_fuzz.cpp  Declaration files: whatever operators write is read or gives faults with line and
- * remedy. */
+/** @file declaration_fuzz.cpp  Fuzzes the reading of declaration files: any input is accepted or reported with faults
+ * that have a description and a remedy. */
 #include "ctl/declaration_file_base.h"
 #include "fleet/declaration_func.h"
 #include "fuzz_input.h"
 
 using namespace Chestnuthook;
 
-// The name is set by libFuzzer. NOLINTNEXTLINE(readability-identifier-naming)
+// libFuzzer requires this name. NOLINTNEXTLINE(readability-identifier-naming)
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t *data, std::size_t size)
 {
     const std::string path = Fuzz::scratchFolder() + "/site.yaml";
@@ -15,7 +15,7 @@
     for (const DeclarationFault &fault : files.faults) {
         Fuzz::require(!fault.what.empty() && !fault.remedy.empty());
     }
-    // What ctl accepts, the state machine accepts too.
+    // The fleet state accepts all declarations that ctl accepts.
     for (const auto &[name, item] : files.items) {
         Fuzz::require(!files.faults.empty() || checkDeclaration(name.section, name.name, item.json).has_value());
     }
--- a/src/ctl/ctl_apply_func.cpp
+++ b/src/ctl/ctl_apply_func.cpp
@@ -1,5 +1,5 @@
-/** @file ctl_apply_func.cpp  validate, diff and apply. */
-#include "ctl/ctl_force_func.h"
+/** @file ctl_apply_func.cpp  The verbs validate, diff and apply. */
+#include "ctl/ctl_rollout_func.h"
 #include "ctl/ctl_submit_func.h"
 #include "ctl/ctl_verb_func.h"
 #include "ctl/declaration_change_func.h"
@@ -10,7 +10,7 @@
 namespace
 {
 
-Result<Submitted> submitChanges(CtlSession &session, const CtlOptions &options, std::uint64_t expected,
+Result<SubmitResult> submitChanges(CtlSession &session, const CtlOptions &options, std::uint64_t expected,
     const std::vector<DeclarationChange> &changes)
 {
     CommandMessage message;
@@ -25,23 +25,23 @@
     return submitCommand(session, message);
 }
 
-/** What the files would change in the fleet. */
+/** Differences between the fleet state and the declaration files. */
 struct Comparison
 {
-    FleetState state; ///< As the fleet holds it now.
-    std::vector<DeclarationChange> changes; ///< From it to the files.
+    FleetState state; ///< Current state of the fleet.
+    std::vector<DeclarationChange> changes; ///< Changes that bring the fleet to the state of the files.
 };
 
-/** Reads the files and the fleet; complains of what is wrong and gives the exit code for it. */
+/** Compares the files with the fleet state. On failure, prints the errors and returns the exit code. */
 tl::expected<Comparison, CtlExit> compareWithFleet(CtlSession &session, const CtlOptions &options, const Words &files)
 {
     const DeclarationFiles read = readDeclarations(files);
     if (!read.faults.empty()) {
-        return tl::unexpected(complainAll(options, read.faults));
+        return tl::unexpected(printFaults(options, read.faults));
     }
     Result<FleetState> state = session.readFleet();
     if (!state) {
-        return tl::unexpected(complain(options, state.error()));
+        return tl::unexpected(printError(options, state.error()));
     }
     std::vector<DeclarationChange> changes = declarationChanges(*state, read.items);
     return Comparison{std::move(*state), std::move(changes)};
@@ -53,7 +53,7 @@
 {
     const DeclarationFiles read = readDeclarations(files);
     if (!read.faults.empty()) {
-        return complainAll(options, read.faults);
+        return printFaults(options, read.faults);
     }
     Poco::JSON::Object object;
     object.set("declarations", read.items.size());
@@ -85,17 +85,18 @@
     const auto &[state, changes] = *compared;
     const std::uint64_t expected = options.expectedRevision.value_or(state.revision().value);
     const bool named = options.expectedRevision.has_value() || !options.requestId.empty();
-    const Result<Submitted> submitted = changes.empty() && !named ? Submitted{state.index(), expected}
-                                                                  : submitChanges(session, options, expected, changes);
+    const Result<SubmitResult> submitted = changes.empty() && !named
+        ? SubmitResult{state.index(), expected}
+        : submitChanges(session, options, expected, changes);
     if (!submitted) {
-        return complain(options, submitted.error());
+        return printError(options, submitted.error());
     }
     Poco::JSON::Object object(Poco::JSON_PRESERVE_KEY_ORDER);
     object.set("revision", submitted->revision);
     object.set("changes", changesJson(changes));
     const std::string text =
         changesText(options, changes) + "revision " + std::to_string(submitted->revision) + " accepted\n";
-    return finishInForce(session, options, *submitted, text, object);
+    return finishAfterRollout(session, options, *submitted, text, object);
 }
 
 } // namespace Chestnuthook
--- a/src/ctl/ctl_command_func.cpp
+++ b/src/ctl/ctl_command_func.cpp
@@ -1,4 +1,4 @@
-/** @file ctl_command_func.cpp  The table of verbs: its rows give dispatch, usage and help. */
+/** @file ctl_command_func.cpp  Table of verbs, which drives dispatch, usage and help texts. */
 #include "ctl/ctl_command_func.h"
 
 #include <algorithm>
@@ -14,19 +14,19 @@
 
 using VerbFunction = CtlExit (*)(CtlSession &, const CtlOptions &, const Words &);
 
-constexpr std::size_t AnyNumber = 1000;
+constexpr std::size_t MaxFileArguments = 1000;
 
-/** One verb. */
+/** Describes a verb. */
 struct VerbRow
 {
-    std::string_view verb; ///< First word.
-    std::string_view subverb; ///< Second word; empty for none.
-    std::string_view arguments; ///< For the usage.
-    std::size_t least; ///< Fewest arguments.
-    std::size_t most; ///< Most arguments.
-    std::string_view group; ///< Heading in the help; rows of one group stand together.
-    std::string_view help; ///< One line for people.
-    VerbFunction run; ///< Does it.
+    std::string_view verb; ///< First word of the command.
+    std::string_view subverb; ///< Second word of the command; empty for none.
+    std::string_view arguments; ///< Argument names for the usage text.
+    std::size_t minArguments; ///< Minimum number of arguments.
+    std::size_t maxArguments; ///< Maximum number of arguments.
+    std::string_view group; ///< Heading in the help; rows of a group are adjacent.
+    std::string_view help; ///< One-line description.
+    VerbFunction run; ///< Function that executes the verb.
 };
 
 CtlExit runValidate(CtlSession & /*session*/, const CtlOptions &options, const Words &files)
@@ -45,10 +45,11 @@
 }
 
 constexpr auto Verbs = std::to_array<VerbRow>({
-    {"validate", "", "FILE…", 1, AnyNumber, "declarations", "checks the files and tells all faults; needs no fleet",
-        runValidate},
-    {"diff", "", "FILE…", 1, AnyNumber, "declarations", "shows, field by field, what apply would change", ctlDiff},
-    {"apply", "", "FILE…", 1, AnyNumber, "declarations",
+    {"validate", "", "FILE…", 1, MaxFileArguments, "declarations",
+        "checks the files and tells all faults; needs no fleet", runValidate},
+    {"diff", "", "FILE…", 1, MaxFileArguments, "declarations", "shows, field by field, what apply would change",
+        ctlDiff},
+    {"apply", "", "FILE…", 1, MaxFileArguments, "declarations",
         "makes the files' declarations those of the fleet and waits for force (--expect, --request_id, --wait_ms)",
         ctlApply},
     {"fields", "", "", 0, 0, "declarations", "lists sections and fields; needs no fleet", runFields},
@@ -68,7 +69,7 @@
         ctlRemoveMember},
 });
 
-std::string usageOf(const VerbRow &row)
+std::string formatUsage(const VerbRow &row)
 {
     std::string text(row.verb);
     for (const std::string_view part : {row.subverb, row.arguments}) {
@@ -86,12 +87,12 @@
         && (row.subverb.empty() || (words.size() > 1 && row.subverb == words[1]));
 }
 
-CtlExit complainUsage(const Words &words)
+CtlExit printUsageError(const Words &words)
 {
     bool known = false;
     for (const VerbRow &row : Verbs) {
         if (!words.empty() && row.verb == words[0]) {
-            std::cerr << "usage: chestnuthook-ctl " << usageOf(row) << '\n';
+            std::cerr << "usage: chestnuthook-ctl " << formatUsage(row) << '\n';
             known = true;
         }
     }
@@ -117,11 +118,11 @@
             continue;
         }
         const Words rest(words.begin() + (row.subverb.empty() ? 1 : 2), words.end());
-        if (rest.size() >= row.least && rest.size() <= row.most) {
+        if (rest.size() >= row.minArguments && rest.size() <= row.maxArguments) {
             return row.run(session, options, rest);
         }
     }
-    return complainUsage(words);
+    return printUsageError(words);
 }
 
 std::string ctlVerbsHelp()
@@ -133,7 +134,7 @@
             group = row.group;
             text += "\n" + std::string(group) + "\n";
         }
-        text += "  " + usageOf(row) + "\n      " + std::string(row.help) + "\n";
+        text += "  " + formatUsage(row) + "\n      " + std::string(row.help) + "\n";
     }
     text += "\nexit codes\n";
     for (const CtlExitRow &row : CtlExitRows) {
--- a/src/ctl/ctl_command_func.h
+++ b/src/ctl/ctl_command_func.h
@@ -1,4 +1,4 @@
-/** @file ctl_command_func.h  The table of verbs of chestnuthook-ctl and the choice among them. */
+/** @file ctl_command_func.h  Parses and dispatches the verbs of chestnuthook-ctl. */
 #pragma once
 
 #include <string>
@@ -9,11 +9,11 @@
 namespace Chestnuthook
 {
 
-/** Whether @p words name a verb that needs no fleet and so no secret. */
+/** Returns whether the verb in @p words works without a fleet and thus without the fleet secret. */
 [[nodiscard]] bool isOfflineCommand(const Words &words);
-/** Runs the command in @p words; a wrong one gets the usage of its verb. @return the exit code. */
+/** Runs the command in @p words, or prints the usage if it is malformed. @return the exit code. */
 [[nodiscard]] CtlExit runCtlCommand(CtlSession &session, const CtlOptions &options, const Words &words);
-/** Verbs by group and the exit codes, for `--help`. */
+/** Returns the `--help` text that lists the verbs by group and the exit codes. */
 [[nodiscard]] std::string ctlVerbsHelp();
 
 } // namespace Chestnuthook
--- a/src/ctl/ctl_drain_func.cpp
+++ b/src/ctl/ctl_drain_func.cpp
@@ -1,4 +1,4 @@
-/** @file ctl_drain_func.cpp  drain: sets an entry's state, which the entry follows. */
+/** @file ctl_drain_func.cpp  The verb drain: sets the state of an entry to draining, to which the entry reacts. */
 #include "ctl/ctl_submit_func.h"
 #include "ctl/ctl_verb_func.h"
 
@@ -8,7 +8,8 @@
 namespace
 {
 
-/** The live record of the entry whose id or name (the id before the last `.`) is @p name. */
+/** Finds an entry with a lease by its id or its name, which is the id up to the last `.`. @return null if none matches.
+ */
 const EntryRecord *findEntry(const FleetState &state, const std::string &name)
 {
     for (const auto &[id, row] : state.entries.all()) {
@@ -25,20 +26,20 @@
 {
     const Result<FleetState> state = session.readFleet();
     if (!state) {
-        return complain(options, state.error());
+        return printError(options, state.error());
     }
     const EntryRecord *entry = findEntry(*state, words[0]);
     if (entry == nullptr) {
-        return complain(options, Error{ErrorKind::NotFound, "no entry " + words[0] + " holds a lease", Ran::No, 0});
+        return printError(options, Error{ErrorKind::NotFound, "no entry " + words[0] + " holds a lease", Ran::No, 0});
     }
     CommandMessage message;
     auto change = initCommand(message, options).initSetEntryState();
     change.setEntry(entry->id.text);
     change.setEpoch(entry->epoch.value);
     change.setState(Wire::EntryState::DRAINING);
-    const Result<Submitted> submitted = submitCommand(session, message);
+    const Result<SubmitResult> submitted = submitCommand(session, message);
     if (!submitted) {
-        return complain(options, submitted.error());
+        return printError(options, submitted.error());
     }
     Poco::JSON::Object object(Poco::JSON_PRESERVE_KEY_ORDER);
     object.set("entry", entry->id.text);
--- a/src/ctl/ctl_keys_func.cpp
+++ b/src/ctl/ctl_keys_func.cpp
@@ -1,6 +1,6 @@
-/** @file ctl_keys_func.cpp  keys issue, withdraw and list. */
+/** @file ctl_keys_func.cpp  The verbs keys issue, keys withdraw and keys list. */
 #include "core/hash_func.h"
-#include "ctl/ctl_force_func.h"
+#include "ctl/ctl_rollout_func.h"
 #include "ctl/ctl_verb_func.h"
 #include "rpc/message_func.h"
 
@@ -13,15 +13,17 @@
 constexpr std::size_t KeyBytes = 24;
 constexpr std::size_t KeyIdBytes = 12;
 
-/** The id of a new key; a resend under the same request id gives the same. */
+/** Returns the id of a new key. It is derived from the request id if there is one, so that a resend uses the same id.
+ */
 std::string newKeyId(const CtlOptions &options)
 {
     const std::string random = randomHex(KeyIdBytes);
     return "k-" + (options.requestId.empty() ? random : sha256Hex(options.requestId).substr(0, random.size()));
 }
 
-/** Whether the fleet holds @p hash under @p id: the first answer to a request id may have been for another key. */
-Result<void> checkIssued(CtlSession &session, const std::string &id, const std::string &hash)
+/** Verifies that the fleet stores @p hash for key @p id. A resend gets the reply to the first request with its request
+ * id, which was for a different key. */
+Result<void> verifyIssuedKey(CtlSession &session, const std::string &id, const std::string &hash)
 {
     const Result<FleetState> state = session.readFleet();
     if (!state) {
@@ -49,40 +51,40 @@
     record.setTenant(words[0]);
     record.setHash(dataOf(hash));
     record.setNote(options.note);
-    const Result<Submitted> submitted = submitCommand(session, message);
+    const Result<SubmitResult> submitted = submitCommand(session, message);
     if (!submitted) {
-        return complain(options, submitted.error());
+        return printError(options, submitted.error());
     }
-    const Result<void> issued = checkIssued(session, id, hash);
+    const Result<void> issued = verifyIssuedKey(session, id, hash);
     if (!issued) {
-        return complain(options, issued.error());
+        return printError(options, issued.error());
     }
     Poco::JSON::Object object(Poco::JSON_PRESERVE_KEY_ORDER);
     object.set("id", id);
     object.set("tenant", words[0]);
     object.set("key", key);
-    return finishInForce(session, options, *submitted, "id " + id + "\nkey " + key + "\n", object);
+    return finishAfterRollout(session, options, *submitted, "id " + id + "\nkey " + key + "\n", object);
 }
 
 CtlExit ctlWithdrawKey(CtlSession &session, const CtlOptions &options, const Words &words)
 {
     CommandMessage message;
     initCommand(message, options).setWithdrawKey(words[0]);
-    const Result<Submitted> submitted = submitCommand(session, message);
+    const Result<SubmitResult> submitted = submitCommand(session, message);
     if (!submitted) {
-        return complain(options, submitted.error());
+        return printError(options, submitted.error());
     }
     Poco::JSON::Object object(Poco::JSON_PRESERVE_KEY_ORDER);
     object.set("id", words[0]);
     object.set("state", "withdrawn");
-    return finishInForce(session, options, *submitted, "key " + words[0] + " withdrawn\n", object);
+    return finishAfterRollout(session, options, *submitted, "key " + words[0] + " withdrawn\n", object);
 }
 
 CtlExit ctlListKeys(CtlSession &session, const CtlOptions &options, const Words & /*words*/)
 {
     const Result<FleetState> state = session.readFleet();
     if (!state) {
-        return complain(options, state.error());
+        return printError(options, state.error());
     }
     std::vector<Words> rows;
     Poco::JSON::Array list;
@@ -101,7 +103,7 @@
     }
     Poco::JSON::Object object;
     object.set("keys", list);
-    printResult(options, columns(rows), object);
+    printResult(options, formatColumns(rows), object);
     return CtlExit::Done;
 }
 
--- a/src/ctl/ctl_members_func.cpp
+++ b/src/ctl/ctl_members_func.cpp
@@ -1,4 +1,4 @@
-/** @file ctl_members_func.cpp  members list, add and remove. */
+/** @file ctl_members_func.cpp  The verbs members list, members add and members remove. */
 #include "ctl/ctl_verb_func.h"
 #include "rpc/message_func.h"
 
@@ -8,11 +8,11 @@
 namespace
 {
 
-CtlExit change(CtlSession &session, const CtlOptions &options, const Words &words, bool remove)
+CtlExit updateMembership(CtlSession &session, const CtlOptions &options, const Words &words, bool remove)
 {
     const Result<void> done = session.changeMember(words[0], remove ? "" : words[1], remove);
     if (!done) {
-        return complain(options, done.error());
+        return printError(options, done.error());
     }
     Poco::JSON::Object object(Poco::JSON_PRESERVE_KEY_ORDER);
     object.set("member", words[0]);
@@ -44,20 +44,20 @@
         }
         Poco::JSON::Object object;
         object.set("members", list);
-        printResult(options, columns(rows), object);
+        printResult(options, formatColumns(rows), object);
         return CtlExit::Done;
     }
-    return complain(options, Error{ErrorKind::NoQuorum, "no control member that leads answered", Ran::No, 0});
+    return printError(options, Error{ErrorKind::NoQuorum, "no control member that leads answered", Ran::No, 0});
 }
 
 CtlExit ctlAddMember(CtlSession &session, const CtlOptions &options, const Words &words)
 {
-    return change(session, options, words, false);
+    return updateMembership(session, options, words, false);
 }
 
 CtlExit ctlRemoveMember(CtlSession &session, const CtlOptions &options, const Words &words)
 {
-    return change(session, options, words, true);
+    return updateMembership(session, options, words, true);
 }
 
 } // namespace Chestnuthook
--- a/src/ctl/ctl_output_func.cpp
+++ b/src/ctl/ctl_output_func.cpp
@@ -1,4 +1,4 @@
-/** @file ctl_output_func.cpp  Text and JSON output of the verbs. */
+/** @file ctl_output_func.cpp  Text and JSON output for all verbs. */
 #include "ctl/ctl_type.h"
 
 #include <algorithm>
@@ -23,8 +23,8 @@
     return object;
 }
 
-/** Columns that a text takes, without its colour codes and continuation bytes of UTF-8. */
-std::size_t widthOf(const std::string &text)
+/** Returns the display width of a text, without ANSI colour sequences and UTF-8 continuation bytes. */
+std::size_t displayWidth(const std::string &text)
 {
     std::size_t width = 0;
     bool escape = false;
@@ -53,7 +53,7 @@
     std::cout.flush();
 }
 
-CtlExit complain(const CtlOptions &options, const Error &error)
+CtlExit printError(const CtlOptions &options, const Error &error)
 {
     if (options.json) {
         const ErrorRow &row = errorRow(error.kind);
@@ -68,10 +68,10 @@
     } else {
         std::cerr << errorText(error) << '\n';
     }
-    return error.kind == ErrorKind::StaleRevision ? CtlExit::Lost : CtlExit::Failed;
+    return error.kind == ErrorKind::StaleRevision ? CtlExit::StaleRevision : CtlExit::Failed;
 }
 
-CtlExit complainAll(const CtlOptions &options, const std::vector<DeclarationFault> &faults)
+CtlExit printFaults(const CtlOptions &options, const std::vector<DeclarationFault> &faults)
 {
     Poco::JSON::Array list;
     for (const DeclarationFault &fault : faults) {
@@ -93,20 +93,20 @@
     return options.colour ? "\x1b[" + std::string(colour) + "m" + text + "\x1b[0m" : text;
 }
 
-std::string columns(const std::vector<Words> &rows)
+std::string formatColumns(const std::vector<Words> &rows)
 {
     std::vector<std::size_t> widths;
     for (const Words &row : rows) {
         widths.resize(std::max(widths.size(), row.size()));
         for (std::size_t i = 0; i < row.size(); ++i) {
-            widths[i] = std::max(widths[i], widthOf(row[i]));
+            widths[i] = std::max(widths[i], displayWidth(row[i]));
         }
     }
     std::string text;
     for (const Words &row : rows) {
         for (std::size_t i = 0; i < row.size(); ++i) {
             text += row[i];
-            text += i + 1 == row.size() ? "\n" : std::string(widths[i] - widthOf(row[i]) + 2, ' ');
+            text += i + 1 == row.size() ? "\n" : std::string(widths[i] - displayWidth(row[i]) + 2, ' ');
         }
     }
     return text;
--- a/src/ctl/ctl_programs_func.cpp
+++ b/src/ctl/ctl_programs_func.cpp
@@ -1,4 +1,4 @@
-/** @file ctl_programs_func.cpp  programs: lists agent programs. */
+/** @file ctl_programs_func.cpp  The verb programs: lists agent programs. */
 #include "ctl/ctl_verb_func.h"
 
 namespace Chestnuthook
@@ -40,7 +40,7 @@
     for (std::uint16_t first = 0; first < SlotCount && found < options.limit; first += SlotsPerRead) {
         const auto programs = session.loadSlots(first, SlotsPerRead);
         if (!programs) {
-            return complain(options, programs.error());
+            return printError(options, programs.error());
         }
         for (const ProgramRecord &program : *programs) {
             if ((words.empty() || program.tenant.text == words[0]) && found < options.limit) {
@@ -53,7 +53,7 @@
     Poco::JSON::Object object(Poco::JSON_PRESERVE_KEY_ORDER);
     object.set("programs", list);
     object.set("more", found == options.limit);
-    std::string text = columns(rows);
+    std::string text = formatColumns(rows);
     if (found == options.limit) {
         text += "the first " + std::to_string(found) + "; give --limit for more\n";
     }
--- a/src/ctl/ctl_reference_func.cpp
+++ b/src/ctl/ctl_reference_func.cpp
@@ -1,4 +1,4 @@
-/** @file ctl_reference_func.cpp  fields and errors: the tables of declarations and errors, for people and pages. */
+/** @file ctl_reference_func.cpp  The verbs fields and errors: print the field and error tables as text or JSON. */
 #include "ctl/ctl_verb_func.h"
 #include "fleet/declaration_table.h"
 #include "table/error_table.h"
@@ -38,7 +38,7 @@
     return "";
 }
 
-std::string standardText(const FieldRow &row)
+std::string defaultText(const FieldRow &row)
 {
     if (row.required) {
         return "must be given";
@@ -58,13 +58,13 @@
     for (const SectionRow &section : declarationSections()) {
         text += std::string(section.name) + ": " + std::string(section.meaning) + "\n";
         for (const FieldRow &row : section.fields) {
-            text += "  " + std::string(row.name) + " (" + typeText(row) + "; " + standardText(row) + ")\n      "
+            text += "  " + std::string(row.name) + " (" + typeText(row) + "; " + defaultText(row) + ")\n      "
                 + std::string(row.meaning) + "\n";
             Poco::JSON::Object object(Poco::JSON_PRESERVE_KEY_ORDER);
             object.set("section", std::string(section.name));
             object.set("field", std::string(row.name));
             object.set("type", typeText(row));
-            object.set("otherwise", standardText(row));
+            object.set("otherwise", defaultText(row));
             object.set("meaning", std::string(row.meaning));
             list.add(object);
         }
@@ -93,7 +93,7 @@
     }
     Poco::JSON::Object object;
     object.set("errors", list);
-    printResult(options, columns(rows), object);
+    printResult(options, formatColumns(rows), object);
     return CtlExit::Done;
 }
 
--- a/src/ctl/ctl_session_base.cpp
+++ b/src/ctl/ctl_session_base.cpp
@@ -1,4 +1,4 @@
-/** @file ctl_session_base.cpp  Blocking calls to the control members. */
+/** @file ctl_session_base.cpp  Implements the blocking calls to the control members. */
 #include "ctl/ctl_session_base.h"
 
 #include <memory>
@@ -13,8 +13,8 @@
 namespace
 {
 
-constexpr unsigned ReadTries = 40; ///< With the delay, the time of an election and more.
-constexpr auto ReadDelay = 100 * kj::MILLISECONDS;
+constexpr unsigned MaxReadAttempts = 40; ///< With the delay, longer than a leader election.
+constexpr auto ReadRetryDelay = 100 * kj::MILLISECONDS;
 constexpr auto StatusTimeout = 1500 * kj::MILLISECONDS;
 
 } // namespace
@@ -28,9 +28,9 @@
 
 Result<FleetState> CtlSession::readFleet()
 {
-    for (unsigned tries = 0; tries < ReadTries; ++tries) {
-        if (tries > 0) {
-            this->loop.wait(this->loop.kjTimer().afterDelay(ReadDelay));
+    for (unsigned attempt = 0; attempt < MaxReadAttempts; ++attempt) {
+        if (attempt > 0) {
+            this->loop.wait(this->loop.kjTimer().afterDelay(ReadRetryDelay));
         }
         auto response = this->loop.wait(this->client.readFleet());
         if (response) {
@@ -53,7 +53,7 @@
     return this->loop.wait(this->client.changeMember(name, address, remove));
 }
 
-kj::Promise<Result<StatusResponse>> CtlSession::askStatus(RpcLink &link)
+kj::Promise<Result<StatusResponse>> CtlSession::requestStatus(RpcLink &link)
 {
     auto asked = link.services().then([](OfferedServices &&services) {
         return services.control.statusRequest().send();
@@ -76,13 +76,13 @@
     kj::Vector<kj::Promise<Result<StatusResponse>>> asked;
     for (const std::string &address : addresses) {
         links.push_back(std::make_unique<RpcLink>(this->loop.rpc(), address));
-        asked.add(this->askStatus(*links.back()));
+        asked.add(this->requestStatus(*links.back()));
     }
-    std::vector<Result<StatusResponse>> answers;
-    for (Result<StatusResponse> &answer : this->loop.wait(kj::joinPromises(asked.releaseAsArray()))) {
-        answers.push_back(kj::mv(answer));
+    std::vector<Result<StatusResponse>> results;
+    for (Result<StatusResponse> &result : this->loop.wait(kj::joinPromises(asked.releaseAsArray()))) {
+        results.push_back(kj::mv(result));
     }
-    return answers;
+    return results;
 }
 
 Result<std::vector<ProgramRecord>> CtlSession::loadSlots(std::uint16_t first, std::uint16_t count)
@@ -92,7 +92,7 @@
         slots.emplace_back(SlotId{number}, Epoch{});
     }
     Result<std::vector<ProgramRecord>> programs = fail(ErrorKind::NoQuorum, "no control member was asked");
-    for (unsigned tries = 0; tries < ReadTries && !programs; ++tries) {
+    for (unsigned attempt = 0; attempt < MaxReadAttempts && !programs; ++attempt) {
         programs = this->loop.wait(this->client.loadSlots(slots));
     }
     return programs;
--- a/src/ctl/ctl_session_base.h
+++ b/src/ctl/ctl_session_base.h
@@ -1,4 +1,4 @@
-/** @file ctl_session_base.h  The operators' connection to the control members. */
+/** @file ctl_session_base.h  Blocking client for the control members. */
 #pragma once
 
 #include <chrono>
@@ -16,36 +16,37 @@
 
 using StatusResponse = capnp::Response<Wire::Control::StatusResults>;
 
-/** Blocking calls for a command-line tool; made and used on one thread. */
+/** Makes blocking calls to the control members. Must be created and used on a single thread. */
 class CtlSession
 {
 public:
     CtlSession(std::string secret, const std::vector<std::string> &controls);
 
-    /** The whole fleet state, confirmed by a quorum. Errors: NoQuorum. */
+    /** Reads the fleet state, confirmed by a quorum. Errors: NoQuorum. */
     Result<FleetState> readFleet();
 
-    /** Submits a flat fleet command. @return the flat reply. */
+    /** Submits a serialised Wire::FleetCommand. @return the serialised Wire::FleetReply. */
     Result<std::string> submit(std::string command);
 
-    /** Adds or removes a control member. Errors: those of the members. */
+    /** Adds or removes a control member. Errors: those that the members return. */
     Result<void> changeMember(const std::string &name, const std::string &address, bool remove);
 
-    /** Statuses of all members at @p addresses, asked at once. Errors: NoQuorum where one doesn't answer. */
+    /** Requests the status of the members at @p addresses in parallel. @return a result for each address in order;
+     * NoQuorum for a member that doesn't answer. */
     std::vector<Result<StatusResponse>> status(const std::vector<std::string> &addresses);
 
-    /** Programs of @p count slots from @p first on, confirmed by a quorum. Errors: NoQuorum. */
+    /** Reads the programs of @p count slots from @p first on, confirmed by a quorum. Errors: NoQuorum. */
     Result<std::vector<ProgramRecord>> loadSlots(std::uint16_t first, std::uint16_t count);
 
-    /** Runs the loop for @p period. */
+    /** Runs the event loop for @p period. */
     void pause(std::chrono::milliseconds period);
 
 private:
-    kj::Promise<Result<StatusResponse>> askStatus(RpcLink &link);
+    kj::Promise<Result<StatusResponse>> requestStatus(RpcLink &link);
 
-    ControlLoop loop; ///< Runs while a call waits.
-    ControlClient client; ///< To the members.
-    std::vector<std::string> controls; ///< Their addresses.
+    ControlLoop loop; ///< Event loop, which runs while a call is blocked.
+    ControlClient client; ///< Client of the control members.
+    std::vector<std::string> controls; ///< Addresses of the control members.
 };
 
 } // namespace Chestnuthook
--- a/src/ctl/ctl_status_func.cpp
+++ b/src/ctl/ctl_status_func.cpp
@@ -1,4 +1,4 @@
-/** @file ctl_status_func.cpp  status: members, entries, slots, revisions and freshness at a glance. */
+/** @file ctl_status_func.cpp  The verb status: prints members, entries, slots, revisions and freshness. */
 #include "ctl/ctl_status_func.h"
 
 #include <algorithm>
@@ -15,9 +15,9 @@
 
 constexpr std::uint64_t LateHeartbeatMs = 1500; ///< Half of the freshness bound of 3 s.
 
-MemberGlance memberOf(const std::string &address, Wire::Status::Reader status)
+MemberSummary readMember(const std::string &address, Wire::Status::Reader status)
 {
-    MemberGlance member;
+    MemberSummary member;
     member.address = address;
     member.id = textOf(status.getMember());
     member.leader = textOf(status.getLeader());
@@ -30,11 +30,11 @@
     return member;
 }
 
-/** Takes the latest of what members heard of each entry. */
-void takeEntries(Wire::Status::Reader status, std::map<std::string, EntryGlance> &entries)
+/** Merges the entries that a member reports into @p entries, and keeps the report with the highest index of each. */
+void mergeEntries(Wire::Status::Reader status, std::map<std::string, EntrySummary> &entries)
 {
     for (const auto row : status.getEntries()) {
-        EntryGlance entry;
+        EntrySummary entry;
         entry.id = textOf(row.getEntry().getId());
         entry.address = textOf(row.getEntry().getAddress());
         entry.dataCentre = textOf(row.getEntry().getDataCentre());
@@ -59,8 +59,9 @@
     return counts;
 }
 
-/** @p term is that of the leader whom a quorum confirmed; a member that is cut off doesn't follow it for long. */
-std::string memberState(const CtlOptions &options, const MemberGlance &member, std::uint64_t term)
+/** Returns the role of a member for display. @p term is the term of the leader that a quorum confirmed; a partitioned
+ * member soon has a different term and is shown as unconfirmed. */
+std::string memberState(const CtlOptions &options, const MemberSummary &member, std::uint64_t term)
 {
     if (member.confirmed) {
         return coloured(options, ColourGreen, "leader");
@@ -69,14 +70,14 @@
     return follows ? coloured(options, ColourGreen, "follower") : coloured(options, ColourYellow, "unconfirmed");
 }
 
-std::vector<Words> memberRows(const CtlOptions &options, const FleetGlance &glance)
+std::vector<Words> memberRows(const CtlOptions &options, const FleetSummary &summary)
 {
     std::uint64_t term = 0;
-    for (const MemberGlance &member : glance.members) {
+    for (const MemberSummary &member : summary.members) {
         term = member.confirmed ? std::max(term, member.term) : term;
     }
     std::vector<Words> rows = {{"MEMBER", "ADDRESS", "STATE", "TERM", "REVISION", "FLEET", "JOURNAL", "PROGRAMS"}};
-    for (const MemberGlance &member : glance.members) {
+    for (const MemberSummary &member : summary.members) {
         if (!member.fault.empty()) {
             rows.push_back({"?", member.address, coloured(options, ColourRed, "down: " + member.fault)});
             continue;
@@ -88,11 +89,11 @@
     return rows;
 }
 
-std::vector<Words> entryRows(const CtlOptions &options, const FleetGlance &glance, std::uint64_t revision,
+std::vector<Words> entryRows(const CtlOptions &options, const FleetSummary &summary, std::uint64_t revision,
     const std::map<std::string, std::size_t> &slots)
 {
     std::vector<Words> rows = {{"ENTRY", "ADDRESS", "DATA CENTRE", "STATE", "SLOTS", "IN FORCE", "HEARD"}};
-    for (const EntryGlance &entry : glance.entries) {
+    for (const EntrySummary &entry : summary.entries) {
         const auto owned = slots.find(entry.id);
         const bool late = !entry.heard || entry.heardMsAgo > LateHeartbeatMs;
         const std::string heard = entry.heard ? std::to_string(entry.heardMsAgo) + " ms ago" : "not yet";
@@ -106,10 +107,10 @@
 }
 
 Poco::JSON::Object statusJson(
-    const FleetGlance &glance, std::uint64_t revision, const std::map<std::string, std::size_t> &slots)
+    const FleetSummary &summary, std::uint64_t revision, const std::map<std::string, std::size_t> &slots)
 {
     Poco::JSON::Array members;
-    for (const MemberGlance &member : glance.members) {
+    for (const MemberSummary &member : summary.members) {
         Poco::JSON::Object row(Poco::JSON_PRESERVE_KEY_ORDER);
         row.set("address", member.address);
         row.set("up", member.fault.empty());
@@ -125,7 +126,7 @@
         members.add(row);
     }
     Poco::JSON::Array entries;
-    for (const EntryGlance &entry : glance.entries) {
+    for (const EntrySummary &entry : summary.entries) {
         const auto owned = slots.find(entry.id);
         Poco::JSON::Object row(Poco::JSON_PRESERVE_KEY_ORDER);
         row.set("entry", entry.id);
@@ -140,7 +141,7 @@
     }
     Poco::JSON::Object object(Poco::JSON_PRESERVE_KEY_ORDER);
     object.set("revision", revision);
-    object.set("confirmed", glance.confirmed);
+    object.set("confirmed", summary.confirmed);
     object.set("members", members);
     object.set("entries", entries);
     return object;
@@ -148,49 +149,49 @@
 
 } // namespace
 
-FleetGlance readGlance(CtlSession &session, const std::vector<std::string> &addresses)
+FleetSummary readFleetSummary(CtlSession &session, const std::vector<std::string> &addresses)
 {
-    FleetGlance glance;
-    std::map<std::string, EntryGlance> entries;
+    FleetSummary summary;
+    std::map<std::string, EntrySummary> entries;
     const auto responses = session.status(addresses);
     for (std::size_t i = 0; i < addresses.size(); ++i) {
         const std::string &address = addresses[i];
         const auto &response = responses[i];
         if (!response) {
-            MemberGlance down;
+            MemberSummary down;
             down.address = address;
             down.fault = response.error().what;
-            glance.members.push_back(std::move(down));
+            summary.members.push_back(std::move(down));
             continue;
         }
         const auto status = response->getStatus();
-        glance.members.push_back(memberOf(address, status));
+        summary.members.push_back(readMember(address, status));
         if (status.getConfirmed()) {
-            glance.confirmed = true;
-            takeEntries(status, entries);
+            summary.confirmed = true;
+            mergeEntries(status, entries);
         }
     }
     for (auto &[id, entry] : entries) {
-        glance.entries.push_back(std::move(entry));
+        summary.entries.push_back(std::move(entry));
     }
-    return glance;
+    return summary;
 }
 
 CtlExit ctlStatus(CtlSession &session, const CtlOptions &options, const Words & /*words*/)
 {
-    const FleetGlance glance = readGlance(session, options.controls);
-    const Result<FleetState> state = glance.confirmed ? session.readFleet() : Result<FleetState>();
-    const bool known = glance.confirmed && state.has_value();
+    const FleetSummary summary = readFleetSummary(session, options.controls);
+    const Result<FleetState> state = summary.confirmed ? session.readFleet() : Result<FleetState>();
+    const bool known = summary.confirmed && state.has_value();
     const std::uint64_t revision = known ? state->revision().value : 0;
     const auto slots = known ? slotsPerEntry(*state) : std::map<std::string, std::size_t>();
-    std::string text = columns(memberRows(options, glance));
+    std::string text = formatColumns(memberRows(options, summary));
     if (known) {
-        text += "\n" + columns(entryRows(options, glance, revision, slots)) + "\nrevision " + std::to_string(revision)
-            + "\n";
+        text += "\n" + formatColumns(entryRows(options, summary, revision, slots)) + "\nrevision "
+            + std::to_string(revision) + "\n";
     } else {
         text += "\nno member could confirm its answer with a quorum; remedy: bring up a majority of the members\n";
     }
-    printResult(options, text, statusJson(glance, revision, slots));
+    printResult(options, text, statusJson(summary, revision, slots));
     return known ? CtlExit::Done : CtlExit::Failed;
 }
 
--- a/src/ctl/ctl_status_func.h
+++ b/src/ctl/ctl_status_func.h
@@ -1,4 +1,4 @@
-/** @file ctl_status_func.h  What the control members say of themselves and of the entries, put together. */
+/** @file ctl_status_func.h  Collects the status of the control members and of the entries. */
 #pragma once
 
 #include <cstdint>
@@ -10,43 +10,43 @@
 namespace Chestnuthook
 {
 
-/** One control member. */
-struct MemberGlance
+/** Status of a control member. */
+struct MemberSummary
 {
-    std::string address; ///< As named on the command line.
-    std::string fault; ///< Why it doesn't answer; empty where it does.
-    std::string id; ///< Its name.
-    std::string leader; ///< Who it takes for the leader.
-    std::uint64_t term = 0; ///< Of the fleet group.
-    std::uint64_t fleetIndex = 0; ///< Last applied.
-    std::uint64_t journalIndex = 0; ///< Last applied.
-    std::uint64_t revision = 0; ///< Of the declarations.
-    std::uint64_t programs = 0; ///< That it knows.
-    bool confirmed = false; ///< A quorum confirmed its answer.
+    std::string address; ///< Address as given on the command line.
+    std::string fault; ///< Why the member doesn't answer; empty if it does.
+    std::string id; ///< Name of the member.
+    std::string leader; ///< Leader that the member follows.
+    std::uint64_t term = 0; ///< Term of the fleet group.
+    std::uint64_t fleetIndex = 0; ///< Last applied index of the fleet log.
+    std::uint64_t journalIndex = 0; ///< Last applied index of the journal log.
+    std::uint64_t revision = 0; ///< Revision of the declarations.
+    std::uint64_t programs = 0; ///< Number of programs that the member stores.
+    bool confirmed = false; ///< The answer was confirmed by a quorum.
 };
 
-/** One entry with a lease. */
-struct EntryGlance
+/** Status of an entry with a lease. */
+struct EntrySummary
 {
-    std::string id; ///< Of the process.
-    std::string address; ///< For callers.
-    std::string dataCentre; ///< Where it runs.
-    bool draining = false; ///< It gets no new work.
-    bool heard = false; ///< Some member has heard of it in its term.
-    std::uint64_t inForce = 0; ///< Revision that it serves under.
-    std::uint64_t haveIndex = 0; ///< Log index up to which keys and declarations are in force there.
-    std::uint64_t heardMsAgo = 0; ///< Since the last heartbeat.
+    std::string id; ///< Identity of the process.
+    std::string address; ///< Address for callers.
+    std::string dataCentre; ///< Data centre that the entry runs in.
+    bool draining = false; ///< The entry gets no new work.
+    bool heard = false; ///< The answering leader has received a heartbeat in its term.
+    std::uint64_t inForce = 0; ///< Revision of the declarations in force on the entry.
+    std::uint64_t haveIndex = 0; ///< Log index up to which keys and declarations are in force on the entry.
+    std::uint64_t heardMsAgo = 0; ///< Milliseconds since the last heartbeat.
 };
 
-/** All of it. */
-struct FleetGlance
+/** Status of all control members and entries. */
+struct FleetSummary
 {
-    std::vector<MemberGlance> members; ///< In the order of the command line.
-    std::vector<EntryGlance> entries; ///< By id, from confirmed answers.
+    std::vector<MemberSummary> members; ///< Members in the order of the command line.
+    std::vector<EntrySummary> entries; ///< Entries from confirmed answers, sorted by id.
     bool confirmed = false; ///< At least one answer was confirmed by a quorum.
 };
 
-/** Asks all members at @p addresses. */
-[[nodiscard]] FleetGlance readGlance(CtlSession &session, const std::vector<std::string> &addresses);
+/** Requests the status of all members at @p addresses. */
+[[nodiscard]] FleetSummary readFleetSummary(CtlSession &session, const std::vector<std::string> &addresses);
 
 } // namespace Chestnuthook
--- a/src/ctl/ctl_submit_func.cpp
+++ b/src/ctl/ctl_submit_func.cpp
@@ -1,4 +1,4 @@
-/** @file ctl_submit_func.cpp  Fleet commands of the operators. */
+/** @file ctl_submit_func.cpp  Builds and submits fleet commands. */
 #include "ctl/ctl_submit_func.h"
 
 #include "core/hash_func.h"
@@ -23,7 +23,7 @@
     return command;
 }
 
-Result<Submitted> submitCommand(CtlSession &session, CommandMessage &message)
+Result<SubmitResult> submitCommand(CtlSession &session, CommandMessage &message)
 {
     const Result<std::string> bytes = session.submit(flatBytes(message));
     if (!bytes) {
@@ -34,7 +34,7 @@
     if (reply.isFailure()) {
         return tl::unexpected(readFailure(reply.getFailure()));
     }
-    return Submitted{reply.getIndex(), reply.getRevision()};
+    return SubmitResult{reply.getIndex(), reply.getRevision()};
 }
 
 } // namespace Chestnuthook
--- a/src/ctl/ctl_submit_func.h
+++ b/src/ctl/ctl_submit_func.h
@@ -15,16 +15,16 @@
 
 using CommandMessage = capnp::MallocMessageBuilder;
 
-/** What the fleet state answered. */
-struct Submitted
+/** Successful reply to a fleet command. */
+struct SubmitResult
 {
     std::uint64_t index = 0; ///< Log index of the command.
-    std::uint64_t revision = 0; ///< Of the declarations after it.
+    std::uint64_t revision = 0; ///< Revision of the declarations after the command.
 };
 
-/** A command with the options' request id, or a new one. */
+/** Starts a command in @p message with the request id of @p options, or a new one if that is empty. */
 [[nodiscard]] Wire::FleetCommand::Builder initCommand(CommandMessage &message, const CtlOptions &options);
-/** Submits it. Errors: those of the fleet state; NoQuorum. */
-[[nodiscard]] Result<Submitted> submitCommand(CtlSession &session, CommandMessage &message);
+/** Submits the command in @p message. Errors: those of the fleet state; NoQuorum. */
+[[nodiscard]] Result<SubmitResult> submitCommand(CtlSession &session, CommandMessage &message);
 
 } // namespace Chestnuthook
--- a/src/ctl/ctl_verb_func.h
+++ b/src/ctl/ctl_verb_func.h
@@ -7,30 +7,30 @@
 namespace Chestnuthook
 {
 
-/** Checks the files; needs no fleet. */
+/** Validates declaration files; needs no fleet. */
 [[nodiscard]] CtlExit ctlValidate(const CtlOptions &options, const Words &files);
-/** Sections and fields of declarations; needs no fleet. */
+/** Lists the sections and fields of declarations; needs no fleet. */
 [[nodiscard]] CtlExit ctlFields(const CtlOptions &options);
-/** Codes of errors with their remedies; needs no fleet. */
+/** Lists the error codes with their remedies; needs no fleet. */
 [[nodiscard]] CtlExit ctlErrors(const CtlOptions &options);
-/** Shows what apply would change. */
+/** Prints the changes that apply would make. */
 [[nodiscard]] CtlExit ctlDiff(CtlSession &session, const CtlOptions &options, const Words &files);
-/** Makes the fleet's declarations those of the files and waits until they are in force on all entries. */
+/** Replaces the declarations of the fleet with those of the files and waits until they are in force on all entries. */
 [[nodiscard]] CtlExit ctlApply(CtlSession &session, const CtlOptions &options, const Words &files);
-/** Makes a key for a tenant; it is printed here and kept nowhere. */
+/** Issues a key for a customer and prints it. The key itself is stored nowhere. */
 [[nodiscard]] CtlExit ctlIssueKey(CtlSession &session, const CtlOptions &options, const Words &words);
-/** Withdraws a key for good. */
+/** Withdraws a key permanently. */
 [[nodiscard]] CtlExit ctlWithdrawKey(CtlSession &session, const CtlOptions &options, const Words &words);
 [[nodiscard]] CtlExit ctlListKeys(CtlSession &session, const CtlOptions &options, const Words &words);
-/** Members, entries with leases and slots, revisions and freshness. */
+/** Prints members, entries with their leases and slots, revisions and freshness. */
 [[nodiscard]] CtlExit ctlStatus(CtlSession &session, const CtlOptions &options, const Words &words);
-/** Lists programs, of one tenant where it is given. */
+/** Lists the programs of all customers or of a given one. */
 [[nodiscard]] CtlExit ctlPrograms(CtlSession &session, const CtlOptions &options, const Words &words);
-/** Has an entry hand over its slots, finish its calls and end. */
+/** Drains an entry: it hands over its slots, finishes its calls and exits. */
 [[nodiscard]] CtlExit ctlDrain(CtlSession &session, const CtlOptions &options, const Words &words);
-/** The control members, as a leader that a quorum confirms sees them. */
+/** Lists the control members as seen by a leader that is confirmed by a quorum. */
 [[nodiscard]] CtlExit ctlListMembers(CtlSession &session, const CtlOptions &options, const Words &words);
-/** Adds a control member; done when it holds all that is committed. */
+/** Adds a control member and waits until it holds all committed log entries. */
 [[nodiscard]] CtlExit ctlAddMember(CtlSession &session, const CtlOptions &options, const Words &words);
 /** Removes a control member. */
 [[nodiscard]] CtlExit ctlRemoveMember(CtlSession &session, const CtlOptions &options, const Words &words);
--- a/src/ctl/declaration_change_func.cpp
+++ b/src/ctl/declaration_change_func.cpp
@@ -1,4 +1,4 @@
-/** @file declaration_change_func.cpp  Compares declarations by their flattened fields. */
+/** @file declaration_change_func.cpp  Compares declarations field by field after flattening their JSON. */
 #include "ctl/declaration_change_func.h"
 
 #include <map>
@@ -25,15 +25,15 @@
     const auto &object = value.extract<Poco::JSON::Object::Ptr>();
     for (const std::string &name : object->getNames()) {
         if (!object->isNull(name)) {
-            std::string below = path;
-            below += path.empty() ? "" : ".";
-            below += name;
-            flatten(object->get(name), below, fields);
+            std::string childPath = path;
+            childPath += path.empty() ? "" : ".";
+            childPath += name;
+            flatten(object->get(name), childPath, fields);
         }
     }
 }
 
-Fields fieldsOf(const std::string &json)
+Fields flattenJson(const std::string &json)
 {
     Fields fields;
     if (!json.empty()) {
@@ -44,26 +44,26 @@
 
 std::vector<FieldChange> fieldChanges(const std::string &before, const std::string &after)
 {
-    Fields old = fieldsOf(before);
+    Fields oldFields = flattenJson(before);
     std::vector<FieldChange> changes;
-    for (const auto &[path, value] : fieldsOf(after)) {
-        const auto known = old.find(path);
-        if (known == old.end()) {
+    for (const auto &[path, value] : flattenJson(after)) {
+        const auto current = oldFields.find(path);
+        if (current == oldFields.end()) {
             changes.push_back(FieldChange{path, "", value});
             continue;
         }
-        if (known->second != value) {
-            changes.push_back(FieldChange{path, known->second, value});
+        if (current->second != value) {
+            changes.push_back(FieldChange{path, current->second, value});
         }
-        old.erase(known);
+        oldFields.erase(current);
     }
-    for (const auto &[path, value] : old) {
+    for (const auto &[path, value] : oldFields) {
         changes.push_back(FieldChange{path, value, ""});
     }
     return changes;
 }
 
-std::string fieldLine(const std::string &item, const FieldChange &field)
+std::string formatFieldChange(const std::string &item, const FieldChange &field)
 {
     const std::string path = item + "." + field.path;
     if (field.before.empty()) {
@@ -75,18 +75,18 @@
     return "~ " + path + ": " + field.before + " -> " + field.after;
 }
 
-std::string pathOf(const DeclarationName &name)
+std::string dottedPath(const DeclarationName &name)
 {
     return name.section == name.name ? name.section : name.section + "." + name.name;
 }
 
-/** The value of a JSON text, which may be a scalar; null where it is empty. */
-Poco::Dynamic::Var valueOf(const std::string &json)
+/** Parses a JSON value, which may be a scalar. @return null for an empty text. */
+Poco::Dynamic::Var parseJsonValue(const std::string &json)
 {
     return Poco::JSON::Parser().parse("[" + json + "]").extract<Poco::JSON::Array::Ptr>()->get(0);
 }
 
-std::string_view colourOf(char sign)
+std::string_view signColour(char sign)
 {
     return sign == '+' ? ColourGreen : sign == '-' ? ColourRed : ColourYellow;
 }
@@ -97,10 +97,10 @@
 {
     std::vector<DeclarationChange> changes;
     for (const auto &[name, item] : items) {
-        const DeclarationRecord *known = state.declarations.find(name);
-        const std::string before = known == nullptr ? "" : known->json;
+        const DeclarationRecord *current = state.declarations.find(name);
+        const std::string before = current == nullptr ? "" : current->json;
         std::vector<FieldChange> fields = fieldChanges(before, item.json);
-        if (known == nullptr || !fields.empty()) {
+        if (current == nullptr || !fields.empty()) {
             changes.push_back(DeclarationChange{name, before, item.json, std::move(fields)});
         }
     }
@@ -116,14 +116,14 @@
 {
     std::string text;
     for (const DeclarationChange &change : changes) {
-        const std::string path = pathOf(change.name);
+        const std::string path = dottedPath(change.name);
         if (change.before.empty() || change.after.empty()) {
             const std::string line = (change.before.empty() ? "+ " : "- ") + path;
-            text += coloured(options, colourOf(line.front()), line) + "\n";
+            text += coloured(options, signColour(line.front()), line) + "\n";
         }
         for (const FieldChange &field : change.fields) {
-            const std::string line = fieldLine(path, field);
-            text += coloured(options, colourOf(line.front()), line) + "\n";
+            const std::string line = formatFieldChange(path, field);
+            text += coloured(options, signColour(line.front()), line) + "\n";
         }
     }
     return text + std::to_string(changes.size())
@@ -138,8 +138,8 @@
         for (const FieldChange &field : change.fields) {
             Poco::JSON::Object row(Poco::JSON_PRESERVE_KEY_ORDER);
             row.set("path", field.path);
-            row.set("before", valueOf(field.before));
-            row.set("after", valueOf(field.after));
+            row.set("before", parseJsonValue(field.before));
+            row.set("after", parseJsonValue(field.after));
             fields.add(row);
         }
         Poco::JSON::Object object(Poco::JSON_PRESERVE_KEY_ORDER);
--- a/src/ctl/declaration_change_func.h
+++ b/src/ctl/declaration_change_func.h
@@ -1,4 +1,5 @@
-/** @file declaration_change_func.h  Differences between declaration files and the fleet, field by field. */
+/** @file declaration_change_func.h  Computes the differences between declaration files and the fleet state, field by
+ * field. */
 #pragma once
 
 #include <string>
@@ -11,26 +12,26 @@
 namespace Chestnuthook
 {
 
-/** One field that differs. */
+/** Change of a field. */
 struct FieldChange
 {
-    std::string path; ///< Dotted, below the item.
-    std::string before; ///< JSON; empty where it wasn't there.
-    std::string after; ///< JSON; empty where it goes.
+    std::string path; ///< Dotted path below the item.
+    std::string before; ///< Old value as JSON; empty for an added field.
+    std::string after; ///< New value as JSON; empty for a removed field.
 };
 
-/** One declaration that differs. */
+/** Change of a declaration. */
 struct DeclarationChange
 {
-    DeclarationName name; ///< What changes.
-    std::string before; ///< Its JSON in the fleet; empty where it is new.
-    std::string after; ///< Its JSON in the files; empty where it goes.
-    std::vector<FieldChange> fields; ///< What differs in it.
+    DeclarationName name; ///< Section and name of the declaration.
+    std::string before; ///< JSON in the fleet; empty for an added declaration.
+    std::string after; ///< JSON in the files; empty for a removed declaration.
+    std::vector<FieldChange> fields; ///< Changed fields.
 };
 
-/** All differences; objects that differ only in the order of their fields are the same. */
+/** Returns the changes that bring @p state to @p items. The order of fields in an object is ignored. */
 [[nodiscard]] std::vector<DeclarationChange> declarationChanges(const FleetState &state, const DeclaredItems &items);
-/** One line a field: `+` added, `-` removed, `~` changed. */
+/** Formats the changes, one line per field: `+` added, `-` removed, `~` changed. */
 [[nodiscard]] std::string changesText(const CtlOptions &options, const std::vector<DeclarationChange> &changes);
 [[nodiscard]] Poco::JSON::Array changesJson(const std::vector<DeclarationChange> &changes);
 
--- a/src/ctl/declaration_file_base.cpp
+++ b/src/ctl/declaration_file_base.cpp
@@ -1,5 +1,5 @@
-/** @file declaration_file_base.cpp  Merges declaration files and checks the whole, so that all faults are told at once.
- */
+/** @file declaration_file_base.cpp  Merges declaration files and validates the result, so that all faults are reported
+ * together. */
 #include "ctl/declaration_file_base.h"
 
 #include <algorithm>
@@ -22,7 +22,7 @@
     return names;
 }
 
-std::string listed(const std::vector<std::string_view> &names)
+std::string joinNames(const std::vector<std::string_view> &names)
 {
     std::string text;
     for (const std::string_view name : names) {
@@ -32,7 +32,7 @@
     return text;
 }
 
-/** Checks a merged tree and takes its items. */
+/** Validates a merged tree and collects its items. */
 class TreeChecker
 {
 public:
@@ -47,41 +47,41 @@
         for (const auto &[name, section] : this->root.members) {
             const SectionRow *row = findSection(name);
             if (row == nullptr) {
-                this->blameSection(name, section.origin);
+                this->addUnknownSectionFault(name, section.origin);
             } else if (section.kind != DeclarationNodeKind::Map) {
-                this->blame(section.origin, name, "must be a map", "give its items by name");
+                this->addFault(section.origin, name, "must be a map", "give its items by name");
             } else {
-                this->takeSection(*row, section);
+                this->readSection(*row, section);
             }
         }
     }
 
 private:
-    void blame(const Origin &origin, std::string path, std::string what, std::string remedy)
+    void addFault(const Origin &origin, std::string path, std::string what, std::string remedy)
     {
         this->result.faults.push_back(DeclarationFault{origin, std::move(path), std::move(what), std::move(remedy)});
     }
 
-    void blameSection(const std::string &name, const Origin &origin)
+    void addUnknownSectionFault(const std::string &name, const Origin &origin)
     {
-        const std::string near = nearestName(name, sectionNames());
-        this->blame(origin, name, "is not a section",
-            near.empty() ? "use " + listed(sectionNames()) : "did you mean " + near + "?");
+        const std::string suggestion = nearestName(name, sectionNames());
+        this->addFault(origin, name, "is not a section",
+            suggestion.empty() ? "use " + joinNames(sectionNames()) : "did you mean " + suggestion + "?");
     }
 
-    void takeSection(const SectionRow &row, const DeclarationNode &section)
+    void readSection(const SectionRow &row, const DeclarationNode &section)
     {
         const std::string sectionName(row.name);
         if (row.single) {
-            this->takeItem(row, DeclarationName{sectionName, sectionName}, section);
+            this->readItem(row, DeclarationName{sectionName, sectionName}, section);
             return;
         }
         for (const auto &[name, item] : section.members) {
-            this->takeItem(row, DeclarationName{sectionName, name}, item);
+            this->readItem(row, DeclarationName{sectionName, name}, item);
         }
     }
 
-    void takeItem(const SectionRow &row, const DeclarationName &name, const DeclarationNode &item)
+    void readItem(const SectionRow &row, const DeclarationName &name, const DeclarationNode &item)
     {
         const std::string path = row.single ? name.section : name.section + "." + name.name;
         const std::string json = item.toJson();
@@ -90,7 +90,7 @@
             for (const std::string &part : fault.path) {
                 full += "." + part;
             }
-            this->blame(item.originOf(fault.path), std::move(full), fault.what, fault.remedy);
+            this->addFault(item.originOf(fault.path), std::move(full), fault.what, fault.remedy);
         }
         if (item.kind == DeclarationNodeKind::Map) {
             this->checkReferences(row, path, item);
@@ -107,12 +107,12 @@
             }
             const DeclarationNode *section = this->root.find(std::string(field.reference));
             if (section == nullptr || section->find(value->scalar) == nullptr) {
-                this->blameReference(field, path + "." + std::string(field.name), *value, section);
+                this->addReferenceFault(field, path + "." + std::string(field.name), *value, section);
             }
         }
     }
 
-    void blameReference(
+    void addReferenceFault(
         const FieldRow &field, std::string path, const DeclarationNode &value, const DeclarationNode *section)
     {
         std::vector<std::string_view> names;
@@ -121,14 +121,15 @@
                 names.emplace_back(member.name);
             }
         }
-        const std::string near = nearestName(value.scalar, names);
+        const std::string suggestion = nearestName(value.scalar, names);
         const std::string sectionName(field.reference);
-        this->blame(value.origin, std::move(path), value.scalar + " is not declared in " + sectionName,
-            near.empty() ? "declare it in " + sectionName + " or name another" : "did you mean " + near + "?");
+        this->addFault(value.origin, std::move(path), value.scalar + " is not declared in " + sectionName,
+            suggestion.empty() ? "declare it in " + sectionName + " or name another"
+                               : "did you mean " + suggestion + "?");
     }
 
-    const DeclarationNode &root; ///< All files, merged.
-    DeclarationFiles &result; ///< Gets items and faults.
+    const DeclarationNode &root; ///< Merged tree of all files.
+    DeclarationFiles &result; ///< Receives the items and faults.
 };
 
 } // namespace
--- a/src/ctl/declaration_file_base.h
+++ b/src/ctl/declaration_file_base.h
@@ -1,6 +1,6 @@
-/** @file declaration_file_base.h  Reads the base file and the site's overlay (YAML), merges them, and gives each
- * declaration as JSON with the file and line it came from. Maps merge field by field, lists whose items have a `name`
- * merge by it, other lists and scalars are replaced, null removes. */
+/** @file declaration_file_base.h  Reads and merges YAML declaration files, such as a base file and the overlay of a
+ * site, and converts each declaration to JSON with its source file and line. Maps are merged field by field, and lists
+ * whose items all have a `name` are merged by name. Other lists and scalars are replaced; null removes. */
 #pragma once
 
 #include <map>
@@ -13,23 +13,23 @@
 namespace Chestnuthook
 {
 
-/** One merged declaration and where it was written last. */
+/** A merged declaration and its source location. */
 struct DeclaredItem
 {
-    std::string json; ///< The object.
-    Origin origin; ///< Of its last part.
+    std::string json; ///< Declaration as a JSON object.
+    Origin origin; ///< Location of the last file that wrote a part of it.
 };
 
 using DeclaredItems = std::map<DeclarationName, DeclaredItem>;
 
-/** What reading and checking gave. */
+/** Result of reading and validating declaration files. */
 struct DeclarationFiles
 {
-    DeclaredItems items; ///< All declarations that could be read.
+    DeclaredItems items; ///< All declarations that could be read, including faulty ones.
     std::vector<DeclarationFault> faults; ///< All faults, by file in the order given, then by line.
 };
 
-/** Reads, merges and checks @p files in order; later files go before earlier ones. */
+/** Reads, merges and validates @p files in order; later files override earlier ones. */
 [[nodiscard]] DeclarationFiles readDeclarations(const std::vector<std::string> &files);
 
 } // namespace Chestnuthook
--- a/src/ctl/declaration_tree_type.cpp
+++ b/src/ctl/declaration_tree_type.cpp
@@ -1,4 +1,4 @@
-/** @file declaration_tree_type.cpp  Reads YAML into trees by yaml-cpp, and merges them. */
+/** @file declaration_tree_type.cpp  Reads YAML files with yaml-cpp and merges the trees. */
 #include "ctl/declaration_tree_type.h"
 
 #include <algorithm>
@@ -20,9 +20,9 @@
 constexpr std::size_t MaxDepth = 16;
 constexpr std::size_t MaxFileBytes = 16UL * 1024 * 1024;
 
-using Blame = std::function<void(DeclarationFault)>;
+using FaultCallback = std::function<void(DeclarationFault)>;
 
-std::string joined(const std::vector<std::string> &path)
+std::string joinPath(const std::vector<std::string> &path)
 {
     std::string text;
     for (const std::string &part : path) {
@@ -38,13 +38,13 @@
         && text.find_first_not_of("+-.0123456789eE") == std::string::npos && text.back() != '.';
 }
 
-/** Turns yaml-cpp's nodes into ours. */
+/** Converts yaml-cpp nodes to declaration nodes. */
 class TreeReader
 {
 public:
-    TreeReader(const std::string &file, const Blame &blame)
+    TreeReader(const std::string &file, const FaultCallback &reportFault)
         : file(file)
-        , blame(blame)
+        , reportFault(reportFault)
     {
     }
 
@@ -53,7 +53,7 @@
         DeclarationNode result;
         result.origin = Origin{this->file, line};
         if (this->path.size() > MaxDepth) {
-            this->fault(line, "is nested too deep", "give at most 16 levels");
+            this->addFault(line, "is nested too deep", "give at most 16 levels");
         } else if (node.IsScalar()) {
             result.kind = DeclarationNodeKind::Scalar;
             result.scalar = node.Scalar();
@@ -67,9 +67,10 @@
     }
 
 private:
-    void fault(int line, std::string what, std::string remedy)
+    void addFault(int line, std::string what, std::string remedy)
     {
-        this->blame(DeclarationFault{Origin{this->file, line}, joined(this->path), std::move(what), std::move(remedy)});
+        this->reportFault(
+            DeclarationFault{Origin{this->file, line}, joinPath(this->path), std::move(what), std::move(remedy)});
     }
 
     void readMap(const YAML::Node &node, DeclarationNode &result)
@@ -78,7 +79,7 @@
         for (const auto &part : node) {
             const int line = part.first.Mark().line + 1;
             if (!part.first.IsScalar()) {
-                this->fault(line, "has a key that is no name", "use plain names as keys");
+                this->addFault(line, "has a key that is no name", "use plain names as keys");
                 continue;
             }
             this->addMember(result, part.first.Scalar(), part.second, line);
@@ -93,7 +94,7 @@
             DeclarationNode member = this->read(node, line);
             result.members.push_back(DeclarationMember{name, std::move(member)});
         } else {
-            this->fault(line, "stands twice in this file, first on line " + std::to_string(known->origin.line),
+            this->addFault(line, "stands twice in this file, first on line " + std::to_string(known->origin.line),
                 "keep one of the two");
         }
         this->path.pop_back();
@@ -120,13 +121,13 @@
         }
     }
 
-    const std::string &file; ///< As named on the command line.
-    const Blame &blame; ///< Gets the faults.
-    std::vector<std::string> path; ///< Of the node that is being read.
+    const std::string &file; ///< File name as given on the command line.
+    const FaultCallback &reportFault; ///< Called for each fault.
+    std::vector<std::string> path; ///< Path of the current node.
 };
 
-/** Blames tabs in indentation, which YAML forbids and whose parsers explain badly. */
-bool hasTabs(const std::string &file, const std::string &text, const Blame &blame)
+/** Reports tabs in indentation. YAML forbids them, but the error messages of YAML parsers are unhelpful. */
+bool hasTabIndentation(const std::string &file, const std::string &text, const FaultCallback &reportFault)
 {
     bool found = false;
     int line = 1;
@@ -134,7 +135,7 @@
         const std::size_t end = std::min(text.find('\n', begin), text.size());
         const std::size_t first = std::min(text.find_first_not_of(" \t", begin), end);
         if (first != end && text.find('\t', begin) < first) {
-            blame(DeclarationFault{
+            reportFault(DeclarationFault{
                 Origin{file, line}, "", "a tab stands in the indentation", "indent by spaces, two a level"});
             found = true;
         }
@@ -157,11 +158,11 @@
 
 std::string DeclarationFault::text() const
 {
-    std::string where = this->origin.file;
+    std::string location = this->origin.file;
     if (this->origin.line > 0) {
-        where += ":" + std::to_string(this->origin.line);
+        location += ":" + std::to_string(this->origin.line);
     }
-    return where + ": " + (this->path.empty() ? "" : this->path + ": ") + this->what + "; remedy: " + this->remedy;
+    return location + ": " + (this->path.empty() ? "" : this->path + ": ") + this->what + "; remedy: " + this->remedy;
 }
 
 const DeclarationNode *DeclarationNode::find(const std::string &name) const
@@ -195,9 +196,9 @@
         return "null";
     }
     if (this->kind == DeclarationNodeKind::Scalar) {
-        const bool truth = this->scalar == "true" || this->scalar == "false";
-        const bool plain = !this->quoted && !this->scalar.empty() && (truth || isNumber(this->scalar));
-        return plain ? this->scalar : jsonQuoted(this->scalar);
+        const bool isBoolean = this->scalar == "true" || this->scalar == "false";
+        const bool isLiteral = !this->quoted && !this->scalar.empty() && (isBoolean || isNumber(this->scalar));
+        return isLiteral ? this->scalar : jsonQuoted(this->scalar);
     }
     const bool isMap = this->kind == DeclarationNodeKind::Map;
     std::string json;
@@ -208,17 +209,17 @@
     return isMap ? "{" + json + "}" : "[" + json + "]";
 }
 
-void mergeDeclarations(DeclarationNode &base, const DeclarationNode &over)
+void mergeDeclarations(DeclarationNode &base, const DeclarationNode &overlay)
 {
-    if (over.kind != DeclarationNodeKind::Map) {
-        base = over;
+    if (overlay.kind != DeclarationNodeKind::Map) {
+        base = overlay;
         return;
     }
     if (base.kind != DeclarationNodeKind::Map) {
         base = DeclarationNode{DeclarationNodeKind::Map, "", false, {}, {}};
     }
-    base.origin = over.origin;
-    for (const DeclarationMember &member : over.members) {
+    base.origin = overlay.origin;
+    for (const DeclarationMember &member : overlay.members) {
         const auto known = std::find_if(base.members.begin(), base.members.end(), [&](const auto &candidate) {
             return candidate.name == member.name;
         });
@@ -235,37 +236,38 @@
     }
 }
 
-DeclarationNode readDeclarationTree(const std::string &file, const Blame &blame)
+DeclarationNode readDeclarationTree(const std::string &file, const FaultCallback &reportFault)
 {
     const std::optional<std::string> text = readText(file);
     if (!text) {
-        blame(DeclarationFault{Origin{file, 0}, "", "can't be read", "name a readable file of at most 16 MiB"});
+        reportFault(DeclarationFault{Origin{file, 0}, "", "can't be read", "name a readable file of at most 16 MiB"});
         return {};
     }
-    if (hasTabs(file, *text, blame)) {
+    if (hasTabIndentation(file, *text, reportFault)) {
         return {};
     }
     try {
         const std::vector<YAML::Node> documents = YAML::LoadAll(*text);
         if (documents.empty() || documents.front().IsNull()) {
-            blame(DeclarationFault{
+            reportFault(DeclarationFault{
                 Origin{file, 1}, "", "the file is empty", "write at least one section, or leave the file out"});
             return {};
         }
         if (documents.size() > 1) {
-            blame(DeclarationFault{Origin{file, documents[1].Mark().line + 1}, "", "a second document begins here",
-                "keep one document a file; remove the line ---"});
+            reportFault(DeclarationFault{Origin{file, documents[1].Mark().line + 1}, "",
+                "a second document begins here", "keep one document a file; remove the line ---"});
             return {};
         }
         if (!documents.front().IsMap()) {
-            blame(DeclarationFault{
+            reportFault(DeclarationFault{
                 Origin{file, 1}, "", "the file must hold a map of sections", "begin with a section, such as tenants:"});
             return {};
         }
-        return TreeReader(file, blame).read(documents.front(), 1);
+        return TreeReader(file, reportFault).read(documents.front(), 1);
     } catch (const YAML::Exception &exception) {
-        blame(DeclarationFault{Origin{file, std::max(exception.mark.line, 0) + 1}, "", "is not YAML: " + exception.msg,
-            "mend the indentation, brackets or quotes on this line or the one before"});
+        reportFault(
+            DeclarationFault{Origin{file, std::max(exception.mark.line, 0) + 1}, "", "is not YAML: " + exception.msg,
+                "mend the indentation, brackets or quotes on this line or the one before"});
         return {};
     }
 }
--- a/src/ctl/declaration_tree_type.h
+++ b/src/ctl/declaration_tree_type.h
@@ -1,5 +1,5 @@
-/** @file declaration_tree_type.h  A merged YAML tree whose every node remembers the file and line that wrote it last.
- */
+/** @file declaration_tree_type.h  Tree of merged YAML files in which each node has the file and line that wrote it
+ * last. */
 #pragma once
 
 #include <cstdint>
@@ -10,22 +10,22 @@
 namespace Chestnuthook
 {
 
-/** A place in a declaration file. */
+/** Location in a declaration file. */
 struct Origin
 {
-    std::string file; ///< As named on the command line.
-    int line = 0; ///< From 1; 0 for the file as a whole.
+    std::string file; ///< File name as given on the command line.
+    int line = 0; ///< Line number from 1; 0 for the whole file.
 };
 
 /** A fault of a declaration file. */
 struct DeclarationFault
 {
-    Origin origin; ///< Where it stands.
-    std::string path; ///< Dotted path of keys; empty for the file as a whole.
-    std::string what; ///< What is wrong.
-    std::string remedy; ///< What to do about it.
+    Origin origin; ///< Location of the fault.
+    std::string path; ///< Dotted path of keys; empty for the whole file.
+    std::string what; ///< Description of the fault.
+    std::string remedy; ///< Instruction that resolves the fault.
 
-    /** `file:line: path: what; remedy: …`. */
+    /** Formats the fault as `file:line: path: what; remedy: …`. */
     [[nodiscard]] std::string text() const;
 };
 
@@ -33,35 +33,35 @@
 
 struct DeclarationMember;
 
-/** One node; children are members of maps, in the order of the files, or items of lists. */
+/** Node of a declaration tree. Its children are the members of a map in file order, or the items of a list. */
 struct DeclarationNode
 {
-    DeclarationNodeKind kind = DeclarationNodeKind::Null; ///< Chooses which of the rest counts.
+    DeclarationNodeKind kind = DeclarationNodeKind::Null; ///< Determines which of the other fields are used.
     std::string scalar; ///< Text of a scalar.
-    bool quoted = false; ///< The scalar stood in quotes, so that it is a text.
-    std::vector<DeclarationMember> members; ///< Of a map, with unique names; of a list, with empty ones.
-    Origin origin; ///< Of the key or item that wrote it last.
+    bool quoted = false; ///< The scalar was quoted and is therefore a text.
+    std::vector<DeclarationMember> members; ///< Children; names are unique in a map and empty in a list.
+    Origin origin; ///< Location of the key or item that wrote the node last.
 
-    /** The member of that name, or null. */
+    /** Returns the member with this name, or null. */
     [[nodiscard]] const DeclarationNode *find(const std::string &name) const;
-    /** Where the deepest node on @p path stands; this node's origin where none is there. */
+    /** Returns the origin of the deepest existing node on @p path, or of this node if there is none. */
     [[nodiscard]] const Origin &originOf(const std::vector<std::string> &path) const;
     [[nodiscard]] std::string toJson() const;
 };
 
-/** A child of a node. */
+/** Child of a node. */
 struct DeclarationMember
 {
-    std::string name; ///< Its key in a map; empty in a list.
-    DeclarationNode node; ///< Its value.
+    std::string name; ///< Key in a map; empty in a list.
+    DeclarationNode node; ///< Value.
 };
 
-/** Merges @p over into @p base: maps field by field, `null` removes, all else is replaced. */
-void mergeDeclarations(DeclarationNode &base, const DeclarationNode &over);
+/** Merges @p overlay into @p base: maps are merged field by field, `null` removes, and all else is replaced. */
+void mergeDeclarations(DeclarationNode &base, const DeclarationNode &overlay);
 
-/** Reads a YAML file; lists whose items all have a `name` become maps by that name. Calls @p blame for each fault.
- * @return a null node where nothing could be read. */
+/** Reads a YAML file. Lists whose items all have a `name` become maps with the names as keys. Calls @p reportFault for
+ * each fault. @return a null node if the file can't be read. */
 [[nodiscard]] DeclarationNode readDeclarationTree(
-    const std::string &file, const std::function<void(DeclarationFault)> &blame);
+    const std::string &file, const std::function<void(DeclarationFault)> &reportFault);
 
 } // namespace Chestnuthook
--- a/src/ctl/main.cpp
+++ b/src/ctl/main.cpp
@@ -1,4 +1,4 @@
-/** @file main.cpp  chestnuthook-ctl: the operators' command line. */
+/** @file main.cpp  Entry point of chestnuthook-ctl, the command-line tool for operators. */
 #include <cstdlib>
 #include <iostream>
 #include <string>
@@ -40,7 +40,7 @@
     {"note", "changes", {}, "give a short text"},
 };
 
-CtlOptions optionsOf()
+CtlOptions readOptions()
 {
     CtlOptions options;
     options.controls = splitList(FLAGS_controls);
@@ -75,5 +75,5 @@
         return errorRow(secret.error().kind).exitCode;
     }
     CtlSession session(*secret, splitList(FLAGS_controls));
-    return static_cast<int>(runCtlCommand(session, optionsOf(), words));
+    return static_cast<int>(runCtlCommand(session, readOptions(), words));
 }
--- a/tests/process/ctl_test.cpp
+++ b/tests/process/ctl_test.cpp
@@ -1,5 +1,5 @@
-/** @file ctl_test.cpp  What operators do with chestnuthook-ctl against a running fleet: its exit codes, races and
- * resends. */
+/** @file ctl_test.cpp  Tests of chestnuthook-ctl against a running fleet: exit codes, concurrent changes and
+ * resent commands. */
 #define BOOST_TEST_MODULE ctl
 #include <boost/test/unit_test.hpp>
 
@@ -20,26 +20,27 @@
     return text.find(part) != std::string::npos;
 }
 
-std::string source(const std::string &path)
+std::string sourcePath(const std::string &path)
 {
     return std::string(std::getenv("CHESTNUTHOOK_SOURCE")) + "/" + path;
 }
 
-/** Writes an overlay that sets the rate of one tenant. */
-std::string overlay(const ProcessFleet &fleet, const std::string &name, int rate)
+/** Writes an overlay file that sets the rate of a customer. @return its path. */
+std::string writeOverlay(const ProcessFleet &fleet, const std::string &name, int rate)
 {
     std::string path = fleet.folder + "/" + name + ".yaml";
     std::ofstream(path) << "tenants:\n  vetrarkort:\n    rate: " << rate << "\n";
     return path;
 }
 
-std::vector<std::string> verb(const std::string &word, const std::string &last, std::vector<std::string> flags = {})
+std::vector<std::string> declarationCommand(
+    const std::string &word, const std::string &last, std::vector<std::string> flags = {})
 {
-    flags.insert(flags.end(), {word, source("deploy/base.yaml"), source("deploy/kortagatt.yaml"), last});
+    flags.insert(flags.end(), {word, sourcePath("deploy/base.yaml"), sourcePath("deploy/kortagatt.yaml"), last});
     return flags;
 }
 
-/** The number after @p label in @p text; -1 where there is none. */
+/** Returns the number after @p label in @p text, or -1 if there is none. */
 long numberAfter(const std::string &text, const std::string &label)
 {
     const std::size_t at = text.find(label);
@@ -48,7 +49,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(validate_needs_no_fleet_and_tells_all_faults)
+BOOST_AUTO_TEST_CASE(validate_reports_all_faults_without_a_fleet)
 {
     const std::string folder = std::filesystem::temp_directory_path().string();
     const std::string path = folder + "/ctl-test-bad-" + std::to_string(getpid()) + ".yaml";
@@ -62,11 +63,11 @@
     BOOST_TEST(json.exitCode == 3);
     BOOST_TEST(contains(json.output, R"("line":4,"path":"tenants.a.burst")"), json.output);
     const CommandResult right =
-        runCommand("chestnuthook-ctl", {"validate", source("deploy/base.yaml"), source("deploy/derwent.yaml")});
+        runCommand("chestnuthook-ctl", {"validate", sourcePath("deploy/base.yaml"), sourcePath("deploy/derwent.yaml")});
     BOOST_TEST(right.exitCode == 0, right.output);
 }
 
-BOOST_AUTO_TEST_CASE(a_wrong_command_line_is_told_with_its_usage)
+BOOST_AUTO_TEST_CASE(invalid_command_line_prints_usage)
 {
     for (const std::vector<std::string> &words : std::vector<std::vector<std::string>>{{}, {"sing"}, {"apply"},
              {"keys"}, {"keys", "issue"}, {"--output=xml", "status"}, {"--wait_ms=-1", "status"}}) {
@@ -78,42 +79,43 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(of_two_operators_with_equal_revisions_one_wins_and_a_resend_gets_the_first_answer)
+BOOST_AUTO_TEST_CASE(concurrent_apply_accepts_one_operator_and_resend_returns_first_reply)
 {
     ProcessFleet fleet;
-    const CommandResult diff = fleet.ctl(verb("diff", overlay(fleet, "first", 6)));
+    const CommandResult diff = fleet.ctl(declarationCommand("diff", writeOverlay(fleet, "first", 6)));
     BOOST_TEST(contains(diff.output, "~ tenants.vetrarkort.rate: 5 -> 6\n1 declaration differs"), diff.output);
     const std::string expect = "--expect=" + std::to_string(numberAfter(diff.output, "revision "));
-    const auto first = verb("apply", overlay(fleet, "first", 6), {expect, "--request_id=change-1"});
+    const auto first = declarationCommand("apply", writeOverlay(fleet, "first", 6), {expect, "--request_id=change-1"});
     const CommandResult won = fleet.ctl(first);
     BOOST_TEST(won.exitCode == 0, won.output);
     BOOST_TEST(contains(won.output, "in force on all entries"), won.output);
-    const CommandResult lost = fleet.ctl(verb("apply", overlay(fleet, "second", 7), {expect}));
+    const CommandResult lost = fleet.ctl(declarationCommand("apply", writeOverlay(fleet, "second", 7), {expect}));
     BOOST_TEST(lost.exitCode == 4, lost.output);
     BOOST_TEST(contains(lost.output, "remedy"), lost.output);
     const CommandResult resent = fleet.ctl(first);
     BOOST_TEST(resent.exitCode == 0, resent.output);
     BOOST_TEST(numberAfter(resent.output, "revision ") == numberAfter(won.output, "revision "));
-    const CommandResult after = fleet.ctl(verb("diff", overlay(fleet, "first", 6)));
+    const CommandResult after = fleet.ctl(declarationCommand("diff", writeOverlay(fleet, "first", 6)));
     BOOST_TEST(contains(after.output, "0 declarations differ"), after.output);
 }
 
-BOOST_AUTO_TEST_CASE(apply_says_which_entry_lags)
+BOOST_AUTO_TEST_CASE(apply_reports_the_lagging_entry)
 {
     FleetSize size;
     size.entries = 2;
     ProcessFleet fleet(size);
     fleet.processes.at("entry-1")->signal(SIGSTOP);
     const CommandResult applied =
-        fleet.ctl(verb("apply", overlay(fleet, "lag", 6), {"--wait_ms=700", "--output=json"}));
+        fleet.ctl(declarationCommand("apply", writeOverlay(fleet, "lag", 6), {"--wait_ms=700", "--output=json"}));
     fleet.processes.at("entry-1")->signal(SIGCONT);
     BOOST_TEST(applied.exitCode == 5, applied.output);
     BOOST_TEST(contains(applied.output, R"("in_force":false,"lagging":["entry-1.)"), applied.output);
-    const CommandResult again = fleet.ctl(verb("apply", overlay(fleet, "lag", 6), {"--wait_ms=30000"}));
+    const CommandResult again =
+        fleet.ctl(declarationCommand("apply", writeOverlay(fleet, "lag", 6), {"--wait_ms=30000"}));
     BOOST_TEST(again.exitCode == 0, again.output);
 }
 
-BOOST_AUTO_TEST_CASE(status_keys_and_programs_speak_json_and_hold_no_key)
+BOOST_AUTO_TEST_CASE(status_keys_and_programs_json_contains_no_key)
 {
     ProcessFleet fleet;
     const std::string program = fleet.createProgram(0);
@@ -137,7 +139,7 @@
     BOOST_TEST(contains(unknown.output, R"("code":"not_found")"), unknown.output);
 }
 
-BOOST_AUTO_TEST_CASE(a_resent_keys_issue_never_prints_a_key_that_the_fleet_does_not_hold)
+BOOST_AUTO_TEST_CASE(resent_keys_issue_prints_no_key_unknown_to_the_fleet)
 {
     ProcessFleet fleet;
     const std::vector<std::string> issue = {"--request_id=autumn", "keys", "issue", fleet.tenant};
@@ -150,7 +152,7 @@
     BOOST_TEST(fleet.ctl({"keys", "issue", "nobody"}).exitCode == 1);
 }
 
-BOOST_AUTO_TEST_CASE(a_drained_entry_hands_over_its_slots_and_ends)
+BOOST_AUTO_TEST_CASE(drained_entry_hands_over_slots_and_exits)
 {
     FleetSize size;
     size.entries = 2;
@@ -166,7 +168,7 @@
     BOOST_TEST(fleet.ask(0, "POST", "/v1/programs", "{}").status == 201);
 }
 
-BOOST_AUTO_TEST_CASE(a_fleet_that_can_not_be_reached_is_told_so)
+BOOST_AUTO_TEST_CASE(unreachable_fleet_is_reported)
 {
     const CommandResult status =
         runCommand("chestnuthook-ctl", {"--controls=" + freeAddresses(1)[0], "status"}, {"CHESTNUTHOOK_SECRET=x"});
--- a/tests/unit/declaration_test.cpp
+++ b/tests/unit/declaration_test.cpp
@@ -1,5 +1,5 @@
-/** @file declaration_test.cpp  Merging and checking of declaration files: each bad one is told with line, path and
- * remedy, all at once. */
+/** @file declaration_test.cpp  Tests of merging and validating declaration files. All faults of invalid files are
+ * reported together, each with line, path and remedy. */
 #define BOOST_TEST_MODULE declaration
 #include <boost/test/unit_test.hpp>
 
@@ -18,18 +18,18 @@
 namespace
 {
 
-/** A folder with declaration files, removed at the end. */
-class Files
+/** A temporary folder with declaration files; removed by the destructor. */
+class TemporaryFiles
 {
 public:
-    Files()
+    TemporaryFiles()
     {
         std::string pattern = (std::filesystem::temp_directory_path() / "declaration-XXXXXX").string();
         this->folder = mkdtemp(pattern.data());
     }
-    Files(const Files &) = delete;
-    Files &operator=(const Files &) = delete;
-    ~Files()
+    TemporaryFiles(const TemporaryFiles &) = delete;
+    TemporaryFiles &operator=(const TemporaryFiles &) = delete;
+    ~TemporaryFiles()
     {
         std::filesystem::remove_all(this->folder);
     }
@@ -42,13 +42,13 @@
     }
 
 private:
-    std::string folder; ///< Below the system's temporary folder.
-    int count = 0; ///< Files so far.
+    std::string folder; ///< Path in the system's temporary folder.
+    int count = 0; ///< Number of files added.
 };
 
 DeclarationFiles readTexts(const std::vector<std::string> &texts)
 {
-    Files files;
+    TemporaryFiles files;
     std::vector<std::string> paths;
     paths.reserve(texts.size());
     for (const std::string &text : texts) {
@@ -57,17 +57,17 @@
     return readDeclarations(paths);
 }
 
-/** One bad file with the fault that must be told. */
-struct BadCase
+/** An invalid file with the expected fault. */
+struct InvalidFileCase
 {
-    std::string text; ///< Of the file.
-    int line; ///< Of the fault.
-    std::string path; ///< Of the fault.
-    std::string what; ///< Part of what is wrong.
+    std::string text; ///< Content of the file.
+    int line; ///< Line of the fault.
+    std::string path; ///< Path of the fault.
+    std::string what; ///< Part of the description.
     std::string remedy; ///< Part of the remedy.
 };
 
-const std::vector<BadCase> BadCases = {
+const std::vector<InvalidFileCase> InvalidFileCases = {
     {"", 1, "", "empty", "write at least one section"},
     {"# only a comment\n", 1, "", "empty", "write at least one section"},
     {"- a\n- b\n", 1, "", "map of sections", "begin with a section"},
@@ -136,28 +136,28 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(each_bad_declaration_is_told_with_its_line_path_and_remedy)
+BOOST_AUTO_TEST_CASE(each_invalid_file_is_reported_with_line_path_and_remedy)
 {
-    BOOST_TEST(BadCases.size() >= 30U);
-    for (const BadCase &bad : BadCases) {
-        Files files;
-        const std::string path = files.add(bad.text);
+    BOOST_TEST(InvalidFileCases.size() >= 30U);
+    for (const InvalidFileCase &invalid : InvalidFileCases) {
+        TemporaryFiles files;
+        const std::string path = files.add(invalid.text);
         const DeclarationFiles read = readDeclarations({path});
-        BOOST_TEST_CONTEXT(bad.text)
+        BOOST_TEST_CONTEXT(invalid.text)
         {
             BOOST_REQUIRE_EQUAL(read.faults.size(), 1U);
             const DeclarationFault &fault = read.faults[0];
             BOOST_TEST(fault.origin.file == path);
-            BOOST_TEST(fault.origin.line == bad.line);
-            BOOST_TEST(fault.path == bad.path);
-            BOOST_TEST(fault.what.find(bad.what) != std::string::npos, fault.what);
-            BOOST_TEST(fault.remedy.find(bad.remedy) != std::string::npos, fault.remedy);
-            BOOST_TEST(fault.text().starts_with(path + ":" + std::to_string(bad.line) + ": "), fault.text());
+            BOOST_TEST(fault.origin.line == invalid.line);
+            BOOST_TEST(fault.path == invalid.path);
+            BOOST_TEST(fault.what.find(invalid.what) != std::string::npos, fault.what);
+            BOOST_TEST(fault.remedy.find(invalid.remedy) != std::string::npos, fault.remedy);
+            BOOST_TEST(fault.text().starts_with(path + ":" + std::to_string(invalid.line) + ": "), fault.text());
         }
     }
 }
 
-BOOST_AUTO_TEST_CASE(a_missing_file_is_told_with_its_name)
+BOOST_AUTO_TEST_CASE(missing_file_is_reported_with_its_name)
 {
     const DeclarationFiles read = readDeclarations({"/nowhere/base.yaml"});
     BOOST_REQUIRE_EQUAL(read.faults.size(), 1U);
@@ -165,9 +165,9 @@
         read.faults[0].text() == "/nowhere/base.yaml: can't be read; remedy: name a readable file of at most 16 MiB");
 }
 
-BOOST_AUTO_TEST_CASE(all_faults_of_all_files_are_told_at_once_in_the_order_of_files_and_lines)
+BOOST_AUTO_TEST_CASE(faults_of_all_files_are_reported_in_order_of_file_and_line)
 {
-    Files files;
+    TemporaryFiles files;
     const std::string base = files.add(
         "tenants:\n  a: {rate: 0, burst: 1}\n  b:\n    rate: 1\n    burst: 0\nmodels:\n  m: {max_tokens: x}\n");
     const std::string broken = files.add("site: [\n");
@@ -182,9 +182,9 @@
     BOOST_TEST(places == expected, boost::test_tools::per_element());
 }
 
-BOOST_AUTO_TEST_CASE(a_fault_points_at_the_file_that_wrote_the_field_last)
+BOOST_AUTO_TEST_CASE(fault_names_the_last_file_that_set_the_field)
 {
-    Files files;
+    TemporaryFiles files;
     const std::string base = files.add("tenants:\n  a:\n    rate: 0\n    burst: 0\n");
     const std::string overlay = files.add("\n\ntenants:\n  a:\n    rate: -1\n");
     const DeclarationFiles read = readDeclarations({base, overlay});
@@ -231,7 +231,7 @@
     BOOST_TEST(!read.items.contains({"routes", "old"}));
 }
 
-BOOST_AUTO_TEST_CASE(the_sites_in_deploy_are_right)
+BOOST_AUTO_TEST_CASE(deployed_site_declarations_are_valid)
 {
     const char *const source = std::getenv("CHESTNUTHOOK_SOURCE");
     BOOST_REQUIRE(source != nullptr);
@@ -251,7 +251,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(numbers_that_are_not_given_have_their_standard_value)
+BOOST_AUTO_TEST_CASE(missing_numbers_have_default_values)
 {
     const auto tenant = parseTenant("a", R"({"rate":2.5,"burst":7})");
     BOOST_REQUIRE(tenant.has_value());
@@ -268,7 +268,7 @@
     BOOST_TEST(!parseTenant("a", "{").has_value());
 }
 
-BOOST_AUTO_TEST_CASE(a_route_opens_its_paths_and_methods_and_nothing_else)
+BOOST_AUTO_TEST_CASE(route_opens_only_its_paths_and_methods)
 {
     ServiceDeclaration print;
     print.id = ServiceId{"print"};
@@ -287,7 +287,7 @@
     BOOST_TEST(isOpenToAll(other, routes, "POST", "/anything"));
 }
 
-BOOST_AUTO_TEST_CASE(a_route_that_is_changed_or_removed_is_so_in_the_next_view)
+BOOST_AUTO_TEST_CASE(route_change_and_removal_reach_the_next_view)
 {
     const DeclarationName name{"routes", "prices"};
     FleetState state;
@@ -313,7 +313,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(differences_are_told_field_by_field)
+BOOST_AUTO_TEST_CASE(differences_are_listed_by_field)
 {
     const DeclarationFiles read = readTexts({"tenants:\n  a: {burst: 2, rate: 1}\n  b: {rate: 1, burst: 1}\n"});
     FleetState state;
