--- a/src/fleet/fleet_type.h
+++ b/src/fleet/fleet_type.h
@@ -30,8 +30,8 @@
 /** An API key of a caller. Only its hash is stored. */
 struct KeyRecord
 {
-    KeyId id; ///< Public id for operators.
-    TenantId tenant; ///< Customer that requests with this key are charged to.
+    KeyId id; ///< Id shown to operators.
+    TenantId tenant; ///< Customer on whose behalf requests with this key run.
     std::string hash; ///< Binary SHA-256 of the key.
     bool withdrawn = false; ///< No command clears this flag.
     std::string note; ///< Free text from the operator.
