--- a/src/timeline/main.cpp
+++ b/src/timeline/main.cpp
@@ -1,4 +1,5 @@
-/** @file main.cpp  chestnuthook-timeline: merges the events of all processes into text, trace JSON and a page. */
+/** @file main.cpp  chestnuthook-timeline: merges the events of all processes and writes them as text, as trace event
+ * JSON and as an HTML page. */
 #include <cstdlib>
 #include <fstream>
 #include <iostream>
@@ -12,16 +13,16 @@
 #include "timeline/timeline_source_func.h"
 #include "timeline/timeline_type.h"
 
-DEFINE_string(sources, "", "Addresses of entries for callers, comma-separated.");
-DEFINE_string(controls, "", "Addresses of the control members, comma-separated; they need the secret.");
-DEFINE_string(logs, "", "Log files, comma-separated, for processes that have died.");
-DEFINE_string(secret_file, "", "File with the fleet's secret; else CHESTNUTHOOK_SECRET.");
-DEFINE_string(program, "", "Follow this program, its attempts and its sub-agents.");
-DEFINE_string(tenant, "", "Follow this tenant and its programs.");
-DEFINE_string(endpoint, "", "Follow this endpoint, ip:port.");
-DEFINE_string(key_id, "", "Follow the key of this id.");
-DEFINE_string(html, "", "File for the page; its text goes to standard output in any case.");
-DEFINE_string(trace, "", "File for the trace JSON.");
+DEFINE_string(sources, "", "Client addresses of the entry processes, comma-separated.");
+DEFINE_string(controls, "", "Addresses of the control members, comma-separated; reading them requires the secret.");
+DEFINE_string(logs, "", "Log files of processes that no longer run, comma-separated.");
+DEFINE_string(secret_file, "", "File with the shared secret; if empty, CHESTNUTHOOK_SECRET is used.");
+DEFINE_string(program, "", "Show only events of this program, its attempts and its sub-agents.");
+DEFINE_string(tenant, "", "Show only events of this tenant and its programs.");
+DEFINE_string(endpoint, "", "Show only events of this endpoint (ip:port) and its attempts.");
+DEFINE_string(key_id, "", "Show only events of the key with this id and the programs created with it.");
+DEFINE_string(html, "", "Output file for the HTML page. The text form is always written to standard output.");
+DEFINE_string(trace, "", "Output file for the trace event JSON.");
 
 namespace
 {
@@ -41,7 +42,7 @@
     {"trace", "output", {}, "name a file that this user may write"},
 };
 
-std::vector<std::string> listOf(const std::string &text)
+std::vector<std::string> splitOptionalList(const std::string &text)
 {
     return text.empty() ? std::vector<std::string>() : splitList(text);
 }
@@ -61,10 +62,10 @@
     return true;
 }
 
-Result<Timeline> readAll()
+Result<Timeline> readTimeline()
 {
     Timeline timeline;
-    for (const std::string &address : listOf(FLAGS_sources)) {
+    for (const std::string &address : splitOptionalList(FLAGS_sources)) {
         readEntryEvents(address, timeline);
     }
     if (!FLAGS_controls.empty()) {
@@ -72,13 +73,13 @@
         if (!secret) {
             return tl::unexpected(secret.error());
         }
-        readMemberEvents(*secret, listOf(FLAGS_controls), timeline);
+        readControlEvents(*secret, splitOptionalList(FLAGS_controls), timeline);
     }
-    for (const std::string &path : listOf(FLAGS_logs)) {
+    for (const std::string &path : splitOptionalList(FLAGS_logs)) {
         readLogFile(path, timeline);
     }
     mergeEvents(timeline.events);
-    timeline.events = followEvents(timeline.events, {FLAGS_program, FLAGS_tenant, FLAGS_endpoint, FLAGS_key_id});
+    timeline.events = filterEvents(timeline.events, {FLAGS_program, FLAGS_tenant, FLAGS_endpoint, FLAGS_key_id});
     return timeline;
 }
 
@@ -92,10 +93,10 @@
         return *code;
     }
     if (FLAGS_sources.empty() && FLAGS_controls.empty() && FLAGS_logs.empty()) {
-        std::cerr << "bad_setting: there is nothing to read; give --sources, --controls or --logs\n";
+        std::cerr << "bad_setting: no event sources are configured; give --sources, --controls or --logs\n";
         return errorRow(ErrorKind::BadSetting).exitCode;
     }
-    const Result<Timeline> timeline = readAll();
+    const Result<Timeline> timeline = readTimeline();
     if (!timeline) {
         std::cerr << errorText(timeline.error()) << '\n';
         return errorRow(timeline.error().kind).exitCode;
--- a/src/timeline/timeline_merge_func.cpp
+++ b/src/timeline/timeline_merge_func.cpp
@@ -1,4 +1,5 @@
-/** @file timeline_merge_func.cpp  Merges events and follows one thing through them. */
+/** @file timeline_merge_func.cpp  Sorts and deduplicates events, and filters them by program, customer, endpoint or
+ * key. */
 #include "timeline/timeline_type.h"
 
 #include <algorithm>
@@ -14,31 +15,33 @@
 namespace
 {
 
-using Pair = std::pair<std::string, std::string>;
+using FieldPair = std::pair<std::string, std::string>;
 
 constexpr std::array<std::string_view, 2> ProgramLinks = {"attempt", "fingerprint"};
 constexpr std::array<std::string_view, 3> TenantLinks = {"program", "attempt", "fingerprint"};
 constexpr std::array<std::string_view, 1> EndpointLinks = {"attempt"};
 
-/** Follows one value: an event belongs to it when it holds a known pair; its own links then become known. */
-class Follower
+/** Selects the events related to the seed fields. An event is selected when one of its fields is a known field or when
+ *  its parent program is known; the link fields of selected events become known fields in turn. */
+class RelatedEventFilter
 {
 public:
-    Follower(std::set<Pair> seeds, std::span<const std::string_view> links)
-        : known(std::move(seeds))
-        , links(links)
+    RelatedEventFilter(std::set<FieldPair> seeds, std::span<const std::string_view> linkNames)
+        : knownFields(std::move(seeds))
+        , linkNames(linkNames)
     {
     }
 
-    /** Learns pairs until a pass adds none, since a link may stand in an earlier event than what leads to it. */
-    void learn(const TimelineEvents &events)
+    /** Adds related fields until a pass finds no new ones. Several passes are needed because an event can precede the
+     *  event that makes one of its fields known. */
+    void collectRelatedFields(const TimelineEvents &events)
     {
-        std::size_t before = 0;
-        while (before != this->known.size()) {
-            before = this->known.size();
+        std::size_t previousCount = 0;
+        while (previousCount != this->knownFields.size()) {
+            previousCount = this->knownFields.size();
             for (const TimelineEvent &event : events) {
                 if (this->matches(event)) {
-                    this->learnFrom(event);
+                    this->collectLinkFields(event);
                 }
             }
         }
@@ -46,41 +49,43 @@
 
     [[nodiscard]] bool matches(const TimelineEvent &event) const
     {
-        return std::any_of(event.fields.begin(), event.fields.end(), [this](const Pair &field) {
-            return this->known.contains(field)
-                || (field.first == "parent" && this->known.contains({"program", field.second}));
+        return std::any_of(event.fields.begin(), event.fields.end(), [this](const FieldPair &field) {
+            return this->knownFields.contains(field)
+                || (field.first == "parent" && this->knownFields.contains({"program", field.second}));
         });
     }
 
 private:
-    void learnFrom(const TimelineEvent &event)
+    void collectLinkFields(const TimelineEvent &event)
     {
         const std::string parent = event.field("parent");
-        const bool child = !parent.empty() && this->known.contains({"program", parent});
-        for (const Pair &field : event.fields) {
-            const bool linked = std::find(this->links.begin(), this->links.end(), field.first) != this->links.end();
-            if (!field.second.empty() && (linked || (child && field.first == "program"))) {
-                this->known.insert(field);
+        const bool isChild = !parent.empty() && this->knownFields.contains({"program", parent});
+        for (const FieldPair &field : event.fields) {
+            const bool isLink =
+                std::find(this->linkNames.begin(), this->linkNames.end(), field.first) != this->linkNames.end();
+            if (!field.second.empty() && (isLink || (isChild && field.first == "program"))) {
+                this->knownFields.insert(field);
             }
         }
     }
 
-    std::set<Pair> known; ///< Fields that belong to what is followed.
-    std::span<const std::string_view> links; ///< Names of fields that lead on.
+    std::set<FieldPair> knownFields; ///< Fields that select an event.
+    std::span<const std::string_view> linkNames; ///< Names of fields that identify further related events.
 };
 
-TimelineEvents keep(const TimelineEvents &events, std::set<Pair> seeds, std::span<const std::string_view> links)
+TimelineEvents selectRelated(
+    const TimelineEvents &events, std::set<FieldPair> seeds, std::span<const std::string_view> linkNames)
 {
-    Follower follower(std::move(seeds), links);
-    follower.learn(events);
-    TimelineEvents kept;
-    std::copy_if(events.begin(), events.end(), std::back_inserter(kept), [&](const TimelineEvent &event) {
-        return follower.matches(event);
+    RelatedEventFilter relatedFilter(std::move(seeds), linkNames);
+    relatedFilter.collectRelatedFields(events);
+    TimelineEvents selected;
+    std::copy_if(events.begin(), events.end(), std::back_inserter(selected), [&](const TimelineEvent &event) {
+        return relatedFilter.matches(event);
     });
-    return kept;
+    return selected;
 }
 
-auto orderOf(const TimelineEvent &event)
+auto sortKey(const TimelineEvent &event)
 {
     return std::tie(event.time, event.process, event.kind, event.fields);
 }
@@ -100,30 +105,30 @@
 void mergeEvents(TimelineEvents &events)
 {
     std::sort(events.begin(), events.end(), [](const TimelineEvent &left, const TimelineEvent &right) {
-        return orderOf(left) < orderOf(right);
+        return sortKey(left) < sortKey(right);
     });
-    const auto same = [](const TimelineEvent &left, const TimelineEvent &right) {
-        return orderOf(left) == orderOf(right);
+    const auto areEqual = [](const TimelineEvent &left, const TimelineEvent &right) {
+        return sortKey(left) == sortKey(right);
     };
-    events.erase(std::unique(events.begin(), events.end(), same), events.end());
+    events.erase(std::unique(events.begin(), events.end(), areEqual), events.end());
 }
 
-TimelineEvents followEvents(const TimelineEvents &events, const TimelineFilter &filter)
+TimelineEvents filterEvents(const TimelineEvents &events, const TimelineFilter &filter)
 {
-    TimelineEvents kept = events;
+    TimelineEvents selected = events;
     if (!filter.program.empty()) {
-        kept = keep(kept, {{"program", filter.program}}, ProgramLinks);
+        selected = selectRelated(selected, {{"program", filter.program}}, ProgramLinks);
     }
     if (!filter.tenant.empty()) {
-        kept = keep(kept, {{"tenant", filter.tenant}}, TenantLinks);
+        selected = selectRelated(selected, {{"tenant", filter.tenant}}, TenantLinks);
     }
     if (!filter.endpoint.empty()) {
-        kept = keep(kept, {{"endpoint", filter.endpoint}}, EndpointLinks);
+        selected = selectRelated(selected, {{"endpoint", filter.endpoint}}, EndpointLinks);
     }
     if (!filter.keyId.empty()) {
-        kept = keep(kept, {{"key", filter.keyId}, {"key_id", filter.keyId}}, TenantLinks);
+        selected = selectRelated(selected, {{"key", filter.keyId}, {"key_id", filter.keyId}}, TenantLinks);
     }
-    return kept;
+    return selected;
 }
 
 } // namespace Chestnuthook
--- a/src/timeline/timeline_page_func.cpp
+++ b/src/timeline/timeline_page_func.cpp
@@ -1,4 +1,4 @@
-/** @file timeline_page_func.cpp  The page: a template with the events as JSON in it. */
+/** @file timeline_page_func.cpp  Renders the HTML page by inserting the events as JSON into a template. */
 #include "timeline/timeline_type.h"
 
 #include "observe/event_ring_base.h"
@@ -10,18 +10,18 @@
 namespace
 {
 
-/** JSON that may stand in a script element: `<` could begin its end tag. */
-std::string scriptSafe(const std::string &json)
+/** Escapes `<` in @p json, which could otherwise start the end tag of the enclosing script element. */
+std::string escapeForScript(const std::string &json)
 {
-    std::string safe;
+    std::string escaped;
     for (const char c : json) {
         if (c == '<') {
-            safe += "\\u003c";
+            escaped += "\\u003c";
         } else {
-            safe += c;
+            escaped += c;
         }
     }
-    return safe;
+    return escaped;
 }
 
 std::string eventJson(const TimelineEvent &event)
@@ -36,9 +36,9 @@
     return json + "}]";
 }
 
-void replaceOnce(std::string &text, std::string_view mark, const std::string &by)
+void replaceFirst(std::string &text, std::string_view placeholder, const std::string &replacement)
 {
-    text.replace(text.find(mark), mark.size(), by);
+    text.replace(text.find(placeholder), placeholder.size(), replacement);
 }
 
 } // namespace
@@ -54,8 +54,8 @@
         notes += (notes.empty() ? "" : ",") + jsonQuoted(note);
     }
     std::string page(TimelinePageTemplate);
-    replaceOnce(page, "/*NOTES*/", scriptSafe(notes));
-    replaceOnce(page, "/*EVENTS*/", scriptSafe(events));
+    replaceFirst(page, "/*NOTES*/", escapeForScript(notes));
+    replaceFirst(page, "/*EVENTS*/", escapeForScript(events));
     return page;
 }
 
--- a/src/timeline/timeline_page_template.h
+++ b/src/timeline/timeline_page_template.h
@@ -1,5 +1,5 @@
-/** @file timeline_page_template.h  The page of a time line; events and notes replace the two marks. It loads nothing.
- */
+/** @file timeline_page_template.h  HTML template of the timeline page, with one placeholder for the events and one for
+ * the notes. The page is self-contained: it loads no further resources. */
 #pragma once
 
 #include <string_view>
--- a/src/timeline/timeline_source_func.cpp
+++ b/src/timeline/timeline_source_func.cpp
@@ -1,4 +1,5 @@
-/** @file timeline_source_func.cpp  Sources of events; one that fails is noted and the others are still read. */
+/** @file timeline_source_func.cpp  Reads events from all sources. A source that fails is reported in a note and the
+ * others are still read. */
 #include "timeline/timeline_source_func.h"
 
 #include <fstream>
@@ -21,12 +22,12 @@
 namespace
 {
 
-constexpr std::uint32_t PageEvents = 1000;
+constexpr std::uint32_t EventsPerPage = 1000;
 constexpr int MaxPages = 1000;
-constexpr auto MemberTimeout = 3000 * kj::MILLISECONDS;
+constexpr auto ControlRpcTimeout = 3000 * kj::MILLISECONDS;
 const Poco::Timespan HttpTimeout(3, 0);
 
-TimelineEvent eventOf(const Poco::JSON::Object &object)
+TimelineEvent parseEventObject(const Poco::JSON::Object &object)
 {
     TimelineEvent event;
     event.time = HybridTime::parse(object.getValue<std::string>("hlc")).value_or(HybridTime{});
@@ -41,39 +42,40 @@
     return event;
 }
 
-void noteFailure(Timeline &timeline, std::string note)
+void addFailureNote(Timeline &timeline, std::string note)
 {
     timeline.partial = true;
     timeline.notes.push_back(std::move(note));
 }
 
-/** Reads page after page until one is empty. */
-void readPages(const std::string &source, Timeline &timeline, const std::function<std::string(std::uint64_t)> &read)
+/** Reads pages from @p read, which takes the sequence number to continue after, until a page is empty. */
+void readAllPages(const std::string &source, Timeline &timeline, const std::function<std::string(std::uint64_t)> &read)
 {
     std::uint64_t since = 0;
-    for (int page = 0; page < MaxPages; ++page) {
-        const Result<EventPage> found = parseEventPage(read(since), timeline.events);
-        if (!found) {
-            noteFailure(timeline, source + ": " + found.error().what);
+    for (int pageIndex = 0; pageIndex < MaxPages; ++pageIndex) {
+        const Result<EventPage> result = parseEventPage(read(since), timeline.events);
+        if (!result) {
+            addFailureNote(timeline, source + ": " + result.error().what);
             return;
         }
-        if (found->lost) {
-            timeline.notes.push_back(source + ": events before these have fallen out of its ring; read its log file");
+        if (result->lost) {
+            timeline.notes.push_back(
+                source + ": older events were dropped from its ring buffer; also read its log file");
         }
-        if (found->count == 0) {
+        if (result->count == 0) {
             return;
         }
-        since = found->nextSince;
+        since = result->nextSince;
     }
-    timeline.notes.push_back(source + ": more events than are read; follow one program, or read again");
+    timeline.notes.push_back(source + ": stopped at the page limit; filter by one program, or read again");
 }
 
-std::string getEvents(const std::string &address, std::uint64_t since)
+std::string fetchEventPage(const std::string &address, std::uint64_t since)
 {
     Poco::Net::HTTPClientSession session(Poco::Net::SocketAddress{address});
     session.setTimeout(HttpTimeout);
     Poco::Net::HTTPRequest request("GET",
-        "/v1/events?since=" + std::to_string(since) + "&limit=" + std::to_string(PageEvents),
+        "/v1/events?since=" + std::to_string(since) + "&limit=" + std::to_string(EventsPerPage),
         Poco::Net::HTTPMessage::HTTP_1_1);
     session.sendRequest(request);
     Poco::Net::HTTPResponse response;
@@ -82,7 +84,7 @@
     return body;
 }
 
-/** Splits a line into key=value pairs; values may be quoted as logValue does it. */
+/** Splits a log line into key=value pairs; values may be quoted and escaped as by logValue(). */
 class LogLineReader
 {
 public:
@@ -93,44 +95,45 @@
 
     bool next(std::pair<std::string, std::string> &field)
     {
-        this->at = std::min(this->text.find_first_not_of(' ', this->at), this->text.size());
-        const std::size_t equals = this->text.find('=', this->at);
+        this->position = std::min(this->text.find_first_not_of(' ', this->position), this->text.size());
+        const std::size_t equals = this->text.find('=', this->position);
         if (equals == std::string::npos) {
             return false;
         }
-        field.first = this->text.substr(this->at, equals - this->at);
-        this->at = equals + 1;
-        const bool quoted = this->at < this->text.size() && this->text[this->at] == '"';
-        field.second = quoted ? this->readQuoted() : this->readPlain();
+        field.first = this->text.substr(this->position, equals - this->position);
+        this->position = equals + 1;
+        const bool quoted = this->position < this->text.size() && this->text[this->position] == '"';
+        field.second = quoted ? this->readQuotedValue() : this->readUnquotedValue();
         return true;
     }
 
 private:
-    std::string readPlain()
+    std::string readUnquotedValue()
     {
-        const std::size_t end = std::min(this->text.find(' ', this->at), this->text.size());
-        std::string value = this->text.substr(this->at, end - this->at);
-        this->at = end;
+        const std::size_t end = std::min(this->text.find(' ', this->position), this->text.size());
+        std::string value = this->text.substr(this->position, end - this->position);
+        this->position = end;
         return value;
     }
 
-    std::string readQuoted()
+    std::string readQuotedValue()
     {
         std::string value;
-        for (++this->at; this->at < this->text.size() && this->text[this->at] != '"'; ++this->at) {
-            if (this->text[this->at] == '\\' && this->at + 1 < this->text.size()) {
-                const char c = this->text[++this->at];
+        for (++this->position; this->position < this->text.size() && this->text[this->position] != '"';
+             ++this->position) {
+            if (this->text[this->position] == '\\' && this->position + 1 < this->text.size()) {
+                const char c = this->text[++this->position];
                 value += c == 'n' ? '\n' : c == 't' ? '\t' : c == 'r' ? '\r' : c;
             } else {
-                value += this->text[this->at];
+                value += this->text[this->position];
             }
         }
-        ++this->at;
+        ++this->position;
         return value;
     }
 
-    const std::string &text; ///< The line.
-    std::size_t at = 0; ///< Of what comes next.
+    const std::string &text; ///< The line to split.
+    std::size_t position = 0; ///< Offset of the next character to read.
 };
 
 } // namespace
@@ -142,11 +145,12 @@
         const auto &object = parsed.extract<Poco::JSON::Object::Ptr>();
         const Poco::JSON::Array::Ptr list = object->getArray("events");
         for (unsigned i = 0; i < list->size(); ++i) {
-            events.push_back(eventOf(*list->getObject(i)));
+            events.push_back(parseEventObject(*list->getObject(i)));
         }
         return EventPage{object->getValue<std::uint64_t>("next_since"), list->size(), object->getValue<bool>("lost")};
     } catch (const std::exception &) {
-        return fail(ErrorKind::BadRequest, "its answer is no page of events; is it an entry's address for callers?");
+        return fail(
+            ErrorKind::BadRequest, "the response is not a page of events; give the client address of an entry process");
     }
 }
 
@@ -175,31 +179,31 @@
 void readEntryEvents(const std::string &address, Timeline &timeline)
 {
     try {
-        readPages(address, timeline, [&](std::uint64_t since) {
-            return getEvents(address, since);
+        readAllPages(address, timeline, [&](std::uint64_t since) {
+            return fetchEventPage(address, since);
         });
     } catch (const Poco::Exception &exception) {
-        noteFailure(timeline, address + ": can't be read: " + exception.displayText());
+        addFailureNote(timeline, address + ": can't be read: " + exception.displayText());
     }
 }
 
-void readMemberEvents(const std::string &secret, const std::vector<std::string> &addresses, Timeline &timeline)
+void readControlEvents(const std::string &secret, const std::vector<std::string> &addresses, Timeline &timeline)
 {
     ControlLoop loop(secret, "timeline");
     for (const std::string &address : addresses) {
         RpcLink link(loop.rpc(), address);
         try {
-            readPages(address, timeline, [&](std::uint64_t since) {
-                auto asked = link.services().then([since](OfferedServices &&services) {
+            readAllPages(address, timeline, [&](std::uint64_t since) {
+                auto response = link.services().then([since](OfferedServices &&services) {
                     auto request = services.control.eventsRequest();
                     request.setSince(since);
-                    request.setLimit(PageEvents);
+                    request.setLimit(EventsPerPage);
                     return request.send();
                 });
-                return textOf(loop.wait(loop.kjTimer().timeoutAfter(MemberTimeout, kj::mv(asked))).getJson());
+                return textOf(loop.wait(loop.kjTimer().timeoutAfter(ControlRpcTimeout, kj::mv(response))).getJson());
             });
         } catch (const kj::Exception &exception) {
-            noteFailure(timeline, address + ": can't be read: " + exception.getDescription().cStr());
+            addFailureNote(timeline, address + ": can't be read: " + exception.getDescription().cStr());
         }
     }
 }
@@ -208,7 +212,7 @@
 {
     std::ifstream file(path);
     if (!file) {
-        noteFailure(timeline, path + ": can't be read");
+        addFailureNote(timeline, path + ": can't be read");
         return;
     }
     std::string line;
--- a/src/timeline/timeline_text_func.cpp
+++ b/src/timeline/timeline_text_func.cpp
@@ -1,4 +1,4 @@
-/** @file timeline_text_func.cpp  Text and trace event JSON. */
+/** @file timeline_text_func.cpp  Formats a timeline as text and as trace event JSON. */
 #include "timeline/timeline_type.h"
 
 #include <map>
@@ -14,17 +14,17 @@
 
 constexpr std::int64_t UsPerMs = 1000;
 
-std::map<std::string, int> processNumbers(const Timeline &timeline)
+std::map<std::string, int> assignTracePids(const Timeline &timeline)
 {
-    std::map<std::string, int> numbers;
+    std::map<std::string, int> pids;
     for (const TimelineEvent &event : timeline.events) {
-        numbers.emplace(event.process, 0);
+        pids.emplace(event.process, 0);
     }
-    int next = 1;
-    for (auto &[process, number] : numbers) {
-        number = next++;
+    int nextPid = 1;
+    for (auto &[process, pid] : pids) {
+        pid = nextPid++;
     }
-    return numbers;
+    return pids;
 }
 
 std::string fieldsJson(const TimelineEvent &event)
@@ -36,8 +36,8 @@
     return json + "}";
 }
 
-/** The begin (`b`) or end (`e`) of a span, or an instant (`i`). */
-std::string phaseOf(const TimelineEvent &event)
+/** Trace event phase of @p event: begin (`b`) or end (`e`) of an asynchronous span, or instant (`i`). */
+std::string tracePhase(const TimelineEvent &event)
 {
     if (event.kind == "call_accepted" || event.kind == "program_created") {
         return "b";
@@ -45,15 +45,15 @@
     return event.kind == "call_ended" || event.kind == "program_ended" ? "e" : "i";
 }
 
-std::string traceEvent(const TimelineEvent &event, int process)
+std::string traceEventJson(const TimelineEvent &event, int pid)
 {
-    const std::string phase = phaseOf(event);
+    const std::string phase = tracePhase(event);
     const std::string call = event.field("call");
     const std::string spanName = call.empty() ? "program" : "call " + call;
     const std::int64_t us = event.time.wallMs * UsPerMs + std::min<std::int64_t>(event.time.counter, UsPerMs - 1);
     std::string json = "{\"name\":" + jsonQuoted(phase == "i" ? event.kind : spanName)
         + ",\"cat\":" + jsonQuoted(phase == "i" ? event.level : "program") + ",\"ph\":\"" + phase
-        + "\",\"ts\":" + std::to_string(us) + ",\"pid\":" + std::to_string(process) + ",\"tid\":1";
+        + "\",\"ts\":" + std::to_string(us) + ",\"pid\":" + std::to_string(pid) + ",\"tid\":1";
     if (phase == "i") {
         json += ",\"s\":\"p\"";
     } else {
@@ -82,16 +82,16 @@
 
 std::string timelineTrace(const Timeline &timeline)
 {
-    const std::map<std::string, int> numbers = processNumbers(timeline);
+    const std::map<std::string, int> pids = assignTracePids(timeline);
     std::string json = "{\"displayTimeUnit\":\"ms\",\"traceEvents\":[";
     std::string separator;
-    for (const auto &[process, number] : numbers) {
-        json += separator + R"({"name":"process_name","ph":"M","pid":)" + std::to_string(number)
+    for (const auto &[process, pid] : pids) {
+        json += separator + R"({"name":"process_name","ph":"M","pid":)" + std::to_string(pid)
             + R"(,"tid":1,"args":{"name":)" + jsonQuoted(process) + "}}";
         separator = ",\n";
     }
     for (const TimelineEvent &event : timeline.events) {
-        json += separator + traceEvent(event, numbers.at(event.process));
+        json += separator + traceEventJson(event, pids.at(event.process));
         separator = ",\n";
     }
     return json + "]}\n";
--- a/src/timeline/timeline_type.h
+++ b/src/timeline/timeline_type.h
@@ -1,4 +1,4 @@
-/** @file timeline_type.h  Events of all processes as a time line holds them. */
+/** @file timeline_type.h  Timeline of the events of all processes, its filter and its output formats. */
 #pragma once
 
 #include <cstdint>
@@ -11,49 +11,51 @@
 namespace Chestnuthook
 {
 
-/** One event of any process; its kind is kept as text, so that events of other versions are shown too. */
+/** One event of any process. The kind is kept as text so that events of other software versions can be shown too. */
 struct TimelineEvent
 {
-    HybridTime time; ///< Orders it after all that caused it.
-    std::int64_t wallMs = 0; ///< By its machine's clock.
-    std::string process; ///< Name and instance.
-    std::string kind; ///< As in the table of events.
+    HybridTime time; ///< Hybrid logical time; later than that of every event that caused this one.
+    std::int64_t wallMs = 0; ///< Milliseconds since 1970 UTC by its instance's clock; for log lines, that of `time`.
+    std::string process; ///< Process name and instance, `name/instance`.
+    std::string kind; ///< Event name as listed in the event table.
     std::string level; ///< debug, info, warning or error.
-    std::vector<std::pair<std::string, std::string>> fields; ///< The particulars.
+    std::vector<std::pair<std::string, std::string>> fields; ///< Names and values of the fields, in source order.
 
-    /** The field of that name; empty where there is none. */
+    /** Value of the field called @p name; empty if there is none. */
     [[nodiscard]] std::string field(const std::string &name) const;
 };
 
 using TimelineEvents = std::vector<TimelineEvent>;
 
-/** What was read. */
+/** Events read from all sources. */
 struct Timeline
 {
-    TimelineEvents events; ///< In hybrid order once merged.
-    bool partial = false; ///< A source couldn't be read.
-    std::vector<std::string> notes; ///< Sources that couldn't be read or had lost events; for people.
+    TimelineEvents events; ///< In order of hybrid time after mergeEvents().
+    bool partial = false; ///< At least one source could not be read completely.
+    std::vector<std::string>
+        notes; ///< Messages to the user about sources that could not be read or have dropped events.
 };
 
-/** What to follow; empty texts don't count, and all that are given must hold. */
+/** Selects related events. Empty criteria are ignored; an event must match all others. */
 struct TimelineFilter
 {
-    std::string program; ///< With its attempts and its sub-agents.
-    std::string tenant; ///< With its programs and their attempts.
-    std::string endpoint; ///< With its attempts.
-    std::string keyId; ///< With the programs that came with it.
+    std::string program; ///< Program id; includes its attempts and its sub-agents.
+    std::string tenant; ///< Customer name; includes its programs and their attempts.
+    std::string endpoint; ///< Endpoint address, ip:port; includes its attempts.
+    std::string keyId; ///< Key id; includes the programs that were created with the key.
 };
 
-/** Sorts by hybrid time, then process, and drops what two sources gave alike. */
+/** Sorts by hybrid time, then process, and removes duplicates of events that were read from two sources. */
 void mergeEvents(TimelineEvents &events);
-/** The events that @p filter follows, in their order. */
-[[nodiscard]] TimelineEvents followEvents(const TimelineEvents &events, const TimelineFilter &filter);
+/** The events that @p filter selects, in their original order. */
+[[nodiscard]] TimelineEvents filterEvents(const TimelineEvents &events, const TimelineFilter &filter);
 
-/** One line an event. */
+/** Text with one line for each event and one `#` line for each note. */
 [[nodiscard]] std::string timelineText(const Timeline &timeline);
-/** The customary trace event format: a process each, instants, and calls and programs as asynchronous spans. */
+/** JSON in the Trace Event Format: one trace process for each process, calls and programs as asynchronous spans, all
+ *  other events as instants. */
 [[nodiscard]] std::string timelineTrace(const Timeline &timeline);
-/** A self-contained page: a lane each process, zoom, filter, details. */
+/** Self-contained HTML page with one lane for each process, zoom, a text filter and event details. */
 [[nodiscard]] std::string timelinePage(const Timeline &timeline);
 
 } // namespace Chestnuthook
--- a/tests/process/timeline_test.cpp
+++ b/tests/process/timeline_test.cpp
@@ -1,4 +1,5 @@
-/** @file timeline_test.cpp  One program followed through running processes and through the log of a dead one. */
+/** @file timeline_test.cpp  chestnuthook-timeline against running processes: filters, unreadable sources, and
+ * settings errors of the daemons. */
 #define BOOST_TEST_MODULE timeline
 #include <boost/test/unit_test.hpp>
 
@@ -18,7 +19,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(a_program_and_a_key_are_followed_through_entries_and_members)
+BOOST_AUTO_TEST_CASE(timeline_is_filtered_by_program_and_by_key)
 {
     ProcessFleet fleet;
     const std::string program = fleet.createProgram(0);
@@ -46,29 +47,29 @@
     const std::string id = keys.substr(0, keys.find(' '));
     BOOST_TEST(fleet.ctl({"keys", "withdraw", id}).exitCode == 0);
     const CommandResult key = runCommand("chestnuthook-timeline", {sources, controls, secret, "--key_id=" + id});
-    // The member commits the withdrawal before the entry learns of it, and the time line says so.
+    // The control member commits the withdrawal before the entry process receives it; the timeline keeps this order.
     const std::size_t committed = key.output.find("control/control-0 key_withdrawn");
-    const std::size_t learnt = key.output.find("entry/entry-0 key_withdrawn");
+    const std::size_t received = key.output.find("entry/entry-0 key_withdrawn");
     BOOST_TEST(committed != std::string::npos, key.output);
-    BOOST_TEST(learnt != std::string::npos, key.output);
-    BOOST_TEST(committed < learnt);
+    BOOST_TEST(received != std::string::npos, key.output);
+    BOOST_TEST(committed < received);
 }
 
-BOOST_AUTO_TEST_CASE(sources_that_fail_are_noted_and_the_rest_is_read)
+BOOST_AUTO_TEST_CASE(unreadable_sources_are_reported_and_the_others_read)
 {
     ProcessFleet fleet;
-    const std::string none = freeAddresses(1)[0];
-    const CommandResult partly = runCommand(
-        "chestnuthook-timeline", {"--sources=" + fleet.entryAddresses[0] + "," + none, "--logs=/nowhere/x.log"});
-    BOOST_TEST(partly.exitCode == 1);
-    BOOST_TEST(contains(partly.output, "process_started"));
-    BOOST_TEST(contains(partly.output, "# " + none + ": can't be read"), partly.output);
-    BOOST_TEST(contains(partly.output, "# /nowhere/x.log: can't be read"));
+    const std::string unusedAddress = freeAddresses(1)[0];
+    const CommandResult partial = runCommand("chestnuthook-timeline",
+        {"--sources=" + fleet.entryAddresses[0] + "," + unusedAddress, "--logs=/nowhere/x.log"});
+    BOOST_TEST(partial.exitCode == 1);
+    BOOST_TEST(contains(partial.output, "process_started"));
+    BOOST_TEST(contains(partial.output, "# " + unusedAddress + ": can't be read"), partial.output);
+    BOOST_TEST(contains(partial.output, "# /nowhere/x.log: can't be read"));
     BOOST_TEST(runCommand("chestnuthook-timeline", {}).exitCode == 2);
     BOOST_TEST(runCommand("chestnuthook-timeline", {"now"}).exitCode == 2);
 }
 
-BOOST_AUTO_TEST_CASE(daemons_refuse_words_and_tell_all_faults_at_once)
+BOOST_AUTO_TEST_CASE(daemons_reject_positional_arguments_and_report_all_errors)
 {
     for (const char *daemon : {"chestnuthook-entry", "chestnuthook-control"}) {
         const CommandResult refused = runCommand(daemon, {"start", "--log_level=loud", "--listen=x"});
--- a/tests/unit/timeline_test.cpp
+++ b/tests/unit/timeline_test.cpp
@@ -1,4 +1,4 @@
-/** @file timeline_test.cpp  Merging, following and the three forms of a time line. */
+/** @file timeline_test.cpp  Merging, filtering, parsing and the three output formats of a timeline. */
 #define BOOST_TEST_MODULE timeline
 #include <boost/test/unit_test.hpp>
 
@@ -23,8 +23,9 @@
     return TimelineEvent{{ms, counter}, ms, process, kind, "info", std::move(fields)};
 }
 
-/** A program with a sub-agent at two entries and an engine's trouble, besides one of another tenant. */
-TimelineEvents scene()
+/** Events of a program with a sub-agent on another entry process and a failed attempt, and of a program of another
+ *  customer. */
+TimelineEvents sampleEvents()
 {
     return {
         event(10, 0, "entry/a", "program_created", {{"program", "p1"}, {"tenant", "t1"}, {"key_id", "k1"}}),
@@ -38,7 +39,7 @@
     };
 }
 
-std::string times(const TimelineEvents &events)
+std::string eventTimes(const TimelineEvents &events)
 {
     std::string text;
     for (const TimelineEvent &found : events) {
@@ -49,12 +50,12 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(events_are_ordered_by_hybrid_time_whatever_the_wall_clocks_say)
+BOOST_AUTO_TEST_CASE(merged_events_are_ordered_by_hybrid_time_not_wall_clock)
 {
     TimelineEvents events = {event(20, 1, "entry/b", "call_accepted"), event(20, 0, "entry/c", "peer_lost"),
         event(5, 9, "entry/a", "peer_lost")};
     events[1].wallMs = 3;
-    events.push_back(events[0]); // Read from the ring and from the log file.
+    events.push_back(events[0]); // The same event, read from the ring buffer and from the log file.
     mergeEvents(events);
     BOOST_REQUIRE_EQUAL(events.size(), 3U);
     BOOST_TEST(events[0].process == "entry/a");
@@ -62,19 +63,19 @@
     BOOST_TEST(events[2].process == "entry/b");
 }
 
-BOOST_AUTO_TEST_CASE(one_program_tenant_endpoint_or_key_is_followed_across_processes)
+BOOST_AUTO_TEST_CASE(filter_selects_related_events_across_processes)
 {
-    BOOST_TEST(times(followEvents(scene(), {})) == times(scene()));
-    BOOST_TEST(times(followEvents(scene(), {"p1", "", "", ""})) == "10 12 13 14 15 17 ");
-    BOOST_TEST(times(followEvents(scene(), {"p3", "", "", ""})) == "14 15 ");
-    BOOST_TEST(times(followEvents(scene(), {"", "t1", "", ""})) == "10 12 13 14 15 17 ");
-    BOOST_TEST(times(followEvents(scene(), {"", "", "e1", ""})) == "12 13 17 ");
-    BOOST_TEST(times(followEvents(scene(), {"", "", "", "k2"})) == "11 16 ");
-    BOOST_TEST(times(followEvents(scene(), {"p1", "", "e1", ""})) == "12 13 17 ");
-    BOOST_TEST(followEvents(scene(), {"p1", "t2", "", ""}).empty());
+    BOOST_TEST(eventTimes(filterEvents(sampleEvents(), {})) == eventTimes(sampleEvents()));
+    BOOST_TEST(eventTimes(filterEvents(sampleEvents(), {"p1", "", "", ""})) == "10 12 13 14 15 17 ");
+    BOOST_TEST(eventTimes(filterEvents(sampleEvents(), {"p3", "", "", ""})) == "14 15 ");
+    BOOST_TEST(eventTimes(filterEvents(sampleEvents(), {"", "t1", "", ""})) == "10 12 13 14 15 17 ");
+    BOOST_TEST(eventTimes(filterEvents(sampleEvents(), {"", "", "e1", ""})) == "12 13 17 ");
+    BOOST_TEST(eventTimes(filterEvents(sampleEvents(), {"", "", "", "k2"})) == "11 16 ");
+    BOOST_TEST(eventTimes(filterEvents(sampleEvents(), {"p1", "", "e1", ""})) == "12 13 17 ");
+    BOOST_TEST(filterEvents(sampleEvents(), {"p1", "t2", "", ""}).empty());
 }
 
-BOOST_AUTO_TEST_CASE(a_page_of_a_ring_and_a_log_line_give_the_same_event)
+BOOST_AUTO_TEST_CASE(event_page_and_log_line_parse_to_the_same_event)
 {
     const Event logged{0, HybridTime{1700000000000, 3}, 1700000000000, "entry/e1", EventKind::PeerLost,
         {{"peer", "a \"b\"\n\\=c"}, {"z", ""}}};
@@ -99,9 +100,9 @@
     BOOST_TEST(!parseEventPage("<html>", events).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(the_trace_has_a_process_each_and_spans_that_begin_and_end)
+BOOST_AUTO_TEST_CASE(trace_has_one_pid_per_process_and_begin_and_end_events)
 {
-    const auto parsed = Poco::JSON::Parser().parse(timelineTrace({scene(), false, {}}));
+    const auto parsed = Poco::JSON::Parser().parse(timelineTrace({sampleEvents(), false, {}}));
     const auto list = parsed.extract<Poco::JSON::Object::Ptr>()->getArray("traceEvents");
     std::map<std::string, int> phases;
     for (unsigned i = 0; i < list->size(); ++i) {
@@ -113,9 +114,9 @@
     BOOST_TEST(phases["i"] == 1);
 }
 
-BOOST_AUTO_TEST_CASE(the_page_holds_all_loads_nothing_and_no_field_ends_its_script)
+BOOST_AUTO_TEST_CASE(page_is_self_contained_and_escapes_script_end_tags)
 {
-    TimelineEvents events = scene();
+    TimelineEvents events = sampleEvents();
     events.push_back(event(18, 0, "entry/a", "peer_lost", {{"peer", "</script><script>alert(1)</script>/*EVENTS*/"}}));
     const std::string page = timelinePage({events, true, {"entry-9: can't be read </script>"}});
     std::size_t scripts = 0;
@@ -130,14 +131,14 @@
     BOOST_TEST(page.find("entry-9: can't be read") != std::string::npos);
 }
 
-BOOST_AUTO_TEST_CASE(the_text_has_a_line_an_event_and_notes_what_is_missing)
+BOOST_AUTO_TEST_CASE(text_has_one_line_per_event_and_per_note)
 {
-    const std::string text = timelineText({scene(), true, {"10.0.0.1:8080: can't be read"}});
+    const std::string text = timelineText({sampleEvents(), true, {"10.0.0.1:8080: can't be read"}});
     BOOST_TEST(std::count(text.begin(), text.end(), '\n') == 9);
     BOOST_TEST(text.ends_with("# 10.0.0.1:8080: can't be read\n"));
 }
 
-BOOST_AUTO_TEST_CASE(a_messages_time_is_followed_unless_its_clock_is_far_ahead)
+BOOST_AUTO_TEST_CASE(message_time_is_adopted_unless_its_clock_is_far_ahead)
 {
     capnp::MallocMessageBuilder message;
     auto time = message.initRoot<Wire::HybridTime>();
