--- a/src/observe/event_ring_base.cpp
+++ b/src/observe/event_ring_base.cpp
@@ -1,4 +1,4 @@
-/** @file event_ring_base.cpp  The ring of events and its JSON form. */
+/** @file event_ring_base.cpp  Ring buffer of events and its JSON representation. */
 #include "observe/event_ring_base.h"
 
 #include <algorithm>
@@ -11,16 +11,16 @@
 namespace
 {
 
-/** Length of the UTF-8 sequence at the start of @p text; 0 where there is none that is valid. */
-std::size_t sequenceLength(std::string_view text)
+/** Length in bytes of the UTF-8 sequence at the start of @p text; 0 if it is not valid. */
+std::size_t utf8SequenceLength(std::string_view text)
 {
     const auto byteAt = [text](std::size_t i) {
         return static_cast<unsigned char>(text[i]);
     };
     const unsigned char lead = byteAt(0);
     std::size_t length = 0;
-    unsigned char low = 0x80;
-    unsigned char high = 0xbf;
+    unsigned char minSecondByte = 0x80;
+    unsigned char maxSecondByte = 0xbf;
     if (lead < 0x80) {
         return 1;
     }
@@ -28,14 +28,14 @@
         length = 2;
     } else if (lead >= 0xe0 && lead <= 0xef) {
         length = 3;
-        low = lead == 0xe0 ? 0xa0 : low;
-        high = lead == 0xed ? 0x9f : high;
+        minSecondByte = lead == 0xe0 ? 0xa0 : minSecondByte;
+        maxSecondByte = lead == 0xed ? 0x9f : maxSecondByte;
     } else if (lead >= 0xf0 && lead <= 0xf4) {
         length = 4;
-        low = lead == 0xf0 ? 0x90 : low;
-        high = lead == 0xf4 ? 0x8f : high;
+        minSecondByte = lead == 0xf0 ? 0x90 : minSecondByte;
+        maxSecondByte = lead == 0xf4 ? 0x8f : maxSecondByte;
     }
-    if (length == 0 || text.size() < length || byteAt(1) < low || byteAt(1) > high) {
+    if (length == 0 || text.size() < length || byteAt(1) < minSecondByte || byteAt(1) > maxSecondByte) {
         return 0;
     }
     for (std::size_t i = 2; i < length; ++i) {
@@ -52,7 +52,7 @@
 {
     std::string quoted = "\"";
     while (!text.empty()) {
-        const std::size_t length = sequenceLength(text);
+        const std::size_t length = utf8SequenceLength(text);
         const auto byte = static_cast<unsigned char>(text.front());
         if (length == 0) {
             quoted += "\\ufffd";
@@ -79,7 +79,7 @@
 
 std::uint64_t EventRing::append(Event event)
 {
-    Event oldest; // Freed after the lock is.
+    Event oldest; // Destroyed only after the mutex is unlocked.
     const std::lock_guard lock(this->mutex);
     event.sequence = ++this->lastSequence;
     if (this->events.size() == this->capacity) {
@@ -112,7 +112,7 @@
     }
     const std::vector<Event> found = this->since(sinceSequence, limit);
     if (!found.empty()) {
-        // Events may have fallen out between the two looks.
+        // Events may have been dropped between the two times the mutex was held.
         oldest = found.front().sequence > sinceSequence + 1 ? found.front().sequence : oldest;
     }
     const std::uint64_t next = found.empty() ? sinceSequence : found.back().sequence;
--- a/src/observe/event_ring_base.h
+++ b/src/observe/event_ring_base.h
@@ -1,4 +1,4 @@
-/** @file event_ring_base.h  Bounded ring of a process's latest events, for /v1/events and time lines. */
+/** @file event_ring_base.h  Ring buffer of a process's latest events, read through /v1/events and by the timeline. */
 #pragma once
 
 #include <cstddef>
@@ -15,41 +15,41 @@
 namespace Chestnuthook
 {
 
-/** One event as kept. */
+/** One recorded event. */
 struct Event
 {
-    std::uint64_t sequence = 0; ///< Position in this process's events, from 1; the ring sets it.
-    HybridTime hybridTime; ///< Orders events across processes that talk to each other.
-    std::int64_t wallMs = 0; ///< Milliseconds since 1970 UTC, by this machine's clock.
-    std::string process; ///< Name and instance of the process.
-    EventKind kind = EventKind::ProcessStarted; ///< What happened.
-    std::vector<std::pair<std::string, std::string>> fields; ///< The particulars; never a key, a body or a secret.
+    std::uint64_t sequence = 0; ///< Number of the event in this process, from 1; set by EventRing::append().
+    HybridTime hybridTime; ///< Hybrid logical time; orders events across communicating processes.
+    std::int64_t wallMs = 0; ///< Milliseconds since 1970 UTC by the clock of this instance.
+    std::string process; ///< Process name and instance, `name/instance`.
+    EventKind kind = EventKind::ProcessStarted; ///< Kind of event; determines its level.
+    std::vector<std::pair<std::string, std::string>> fields; ///< Names and values; never a key, body or secret.
 };
 
-/** Keeps the latest events; older ones fall out. Thread-safe. */
+/** Ring buffer of the latest events; appending to a full buffer drops the oldest event. Thread-safe. */
 class EventRing
 {
 public:
-    static constexpr std::size_t DefaultCapacity = 8192; ///< Events.
+    static constexpr std::size_t DefaultCapacity = 8192; ///< Number of events.
 
     explicit EventRing(std::size_t eventCapacity = DefaultCapacity);
 
-    /** Keeps @p event under the next sequence number, which is returned. */
+    /** Appends @p event with the next sequence number and returns that number. */
     std::uint64_t append(Event event);
-    /** Up to @p limit events after @p sinceSequence, oldest first. */
+    /** Up to @p limit events with sequence numbers above @p sinceSequence, oldest first. */
     [[nodiscard]] std::vector<Event> since(std::uint64_t sinceSequence, std::size_t limit) const;
     /** `{"oldest":…,"next_since":…,"lost":bool,"events":[{"sequence":…,"hlc":…,"wall_ms":…,"process":…,"kind":…,
-     *  "level":…,"fields":{…}}]}`; `lost` says that events after @p sinceSequence have fallen out. */
+     *  "level":…,"fields":{…}}]}`; `lost` tells whether events after @p sinceSequence have been dropped. */
     [[nodiscard]] std::string toJson(std::uint64_t sinceSequence, std::size_t limit) const;
 
 private:
-    const std::size_t capacity; ///< At least 1.
-    mutable std::mutex mutex; ///< Guards all below; held for copies only.
-    std::deque<Event> events; ///< At most `capacity`, with growing sequence numbers without gaps.
-    std::uint64_t lastSequence = 0; ///< Of the newest event; 0 before the first.
+    const std::size_t capacity; ///< Maximum number of events; at least 1.
+    mutable std::mutex mutex; ///< Guards the members below; held only to copy or move events.
+    std::deque<Event> events; ///< At most `capacity` events with consecutive sequence numbers.
+    std::uint64_t lastSequence = 0; ///< Sequence number of the newest event; 0 before the first.
 };
 
-/** @p text as a JSON string with its quotes; bytes that are no UTF-8 become U+FFFD. */
+/** @p text as a quoted and escaped JSON string; each byte that is not valid UTF-8 becomes U+FFFD. */
 [[nodiscard]] std::string jsonQuoted(std::string_view text);
 
 } // namespace Chestnuthook
--- a/src/observe/log_func.cpp
+++ b/src/observe/log_func.cpp
@@ -1,4 +1,4 @@
-/** @file log_func.cpp  Event lines through Boost.Log; the only file that includes it. */
+/** @file log_func.cpp  Writes event lines with Boost.Log; the only file that includes Boost.Log. */
 #include "observe/log_func.h"
 
 #include <algorithm>
@@ -31,25 +31,25 @@
 namespace
 {
 
-constexpr std::size_t MaxWaitingLines = 65536; ///< Lines that a slow output may hold up; further ones are dropped.
+constexpr std::size_t MaxQueuedLines = 65536; ///< Per sink; further lines are dropped if the output is too slow.
 
 using Sink = boost::log::sinks::asynchronous_sink<boost::log::sinks::text_ostream_backend,
-    boost::log::sinks::bounded_fifo_queue<MaxWaitingLines, boost::log::sinks::drop_on_overflow>>;
+    boost::log::sinks::bounded_fifo_queue<MaxQueuedLines, boost::log::sinks::drop_on_overflow>>;
 
-/** What logEvent needs of this process; never destroyed, as threads may log until the end. */
-struct Observer
+/** Logging state of the process. Never destroyed, because threads may log until the process exits. */
+struct LoggingState
 {
     std::mutex clockMutex; ///< Guards `clock`.
-    HybridClock clock; ///< The process's hybrid clock.
-    std::string process = "chestnuthook"; ///< Name and instance; set before threads start.
-    EventRing ring; ///< The process's events.
-    std::atomic<EventLevel> level{EventLevel::Info}; ///< Lowest level that is logged.
-    std::atomic<bool> started{false}; ///< Sinks stand.
+    HybridClock clock; ///< Hybrid logical clock of the process.
+    std::string process = "chestnuthook"; ///< Process name and instance; set before threads start.
+    EventRing ring; ///< Latest events of the process.
+    std::atomic<EventLevel> level{EventLevel::Info}; ///< Lowest level that is written to the log.
+    std::atomic<bool> started{false}; ///< The log sinks are set up.
 };
 
-Observer &observer()
+LoggingState &loggingState()
 {
-    static Observer *const Instance = new Observer;
+    static LoggingState *const Instance = new LoggingState;
     return *Instance;
 }
 
@@ -66,7 +66,7 @@
 template<typename Fields>
 void record(EventKind kind, const Fields &fields)
 {
-    Observer &state = observer();
+    LoggingState &state = loggingState();
     Event event;
     event.wallMs = wallMsNow();
     event.hybridTime = hybridNow();
@@ -88,9 +88,9 @@
 
 void initObserve(std::string_view processName, std::string_view instance, const std::string &logFile)
 {
-    Observer &state = observer();
+    LoggingState &state = loggingState();
     if (state.started) {
-        throw std::logic_error("initObserve was called twice");
+        throw std::logic_error("initObserve was called more than once");
     }
     boost::shared_ptr<std::ofstream> file;
     if (!logFile.empty()) {
@@ -113,14 +113,14 @@
 
 void flushObserve()
 {
-    if (observer().started) {
+    if (loggingState().started) {
         boost::log::core::get()->flush();
     }
 }
 
 void setLogLevel(EventLevel level)
 {
-    observer().level = level;
+    loggingState().level = level;
 }
 
 void logEvent(EventKind kind, std::initializer_list<Field> fields)
@@ -135,19 +135,19 @@
 
 EventRing &processEvents()
 {
-    return observer().ring;
+    return loggingState().ring;
 }
 
 HybridTime hybridNow()
 {
-    Observer &state = observer();
+    LoggingState &state = loggingState();
     const std::lock_guard lock(state.clockMutex);
     return state.clock.tick(wallMsNow());
 }
 
 void hybridObserve(const HybridTime &remote)
 {
-    Observer &state = observer();
+    LoggingState &state = loggingState();
     const std::lock_guard lock(state.clockMutex);
     state.clock.observe(remote, wallMsNow());
 }
@@ -207,12 +207,12 @@
     constexpr std::int64_t MsPerSecond = 1000;
     const std::int64_t ms = ((wallMs % MsPerSecond) + MsPerSecond) % MsPerSecond;
     const auto seconds = static_cast<std::time_t>((wallMs - ms) / MsPerSecond);
-    std::tm parts{};
-    gmtime_r(&seconds, &parts);
-    std::array<char, 32> day{};
-    std::strftime(day.data(), day.size(), "%Y-%m-%dT%H:%M:%S", &parts);
+    std::tm utc{};
+    gmtime_r(&seconds, &utc);
+    std::array<char, 32> dateTime{};
+    std::strftime(dateTime.data(), dateTime.size(), "%Y-%m-%dT%H:%M:%S", &utc);
     std::array<char, 48> text{};
-    std::snprintf(text.data(), text.size(), "%s.%03dZ", day.data(), static_cast<int>(ms));
+    std::snprintf(text.data(), text.size(), "%s.%03dZ", dateTime.data(), static_cast<int>(ms));
     return text.data();
 }
 
--- a/src/observe/log_func.h
+++ b/src/observe/log_func.h
@@ -1,4 +1,4 @@
-/** @file log_func.h  One key=value line per event, to standard output and a file, and into the process's event ring. */
+/** @file log_func.h  Event log: key=value lines on standard output and in a file, and a ring buffer of events. */
 #pragma once
 
 #include <cstdint>
@@ -14,39 +14,39 @@
 namespace Chestnuthook
 {
 
-/** One particular of an event; never a key, a body or a secret. */
+/** One field of an event. Must not contain a key, a request or response body, or a secret. */
 struct Field
 {
-    std::string_view name; ///< A word of letters, digits and `_`.
-    std::string value; ///< Any text; it is quoted and escaped as needed.
+    std::string_view name; ///< Consists of letters, digits and `_`.
+    std::string value; ///< Any text; quoted and escaped as needed in the output.
 };
 
-/** Starts logging to standard output, and to @p logFile where that isn't empty. Call once, before threads start.
- *  Until then events go into the ring only. Throws where the file can't be opened. */
+/** Starts logging to standard output and, if @p logFile is not empty, to that file. Call once, before threads start.
+ *  Until then, events go only into the ring buffer. Throws std::runtime_error if the file cannot be opened. */
 void initObserve(std::string_view processName, std::string_view instance, const std::string &logFile);
-/** Waits until all lines are written; runs at a normal exit by itself. Call before an abort or _exit. */
+/** Blocks until all queued lines are written. Runs automatically at normal exit; call it before abort() or _exit(). */
 void flushObserve();
-/** Lowest level that goes to the log; Info at first. The ring takes all. */
+/** Sets the lowest level that is logged; initially Info. The ring buffer stores events of all levels. */
 void setLogLevel(EventLevel level);
 
-/** Records an event; lines are written by a thread of their own. Thread-safe. */
+/** Records an event. Log lines are written by a background thread. Thread-safe. */
 void logEvent(EventKind kind, std::initializer_list<Field> fields);
 void logEvent(EventKind kind, const std::vector<Field> &fields);
-/** The event ring of this process. */
+/** The event ring buffer of this process. */
 [[nodiscard]] EventRing &processEvents();
 
-/** The hybrid time to send with a message. Thread-safe. */
+/** Advances the hybrid clock and returns its time, for an event or a message to be sent. Thread-safe. */
 [[nodiscard]] HybridTime hybridNow();
-/** Takes the hybrid time of a message that was received. Thread-safe. */
+/** Advances the hybrid clock past @p remote, the time of a received message. Thread-safe. */
 void hybridObserve(const HybridTime &remote);
-/** Milliseconds since 1970 UTC; for records and people only, never to decide by. */
+/** Wall clock in milliseconds since 1970 UTC; only for records and display, never as a basis for decisions. */
 [[nodiscard]] std::int64_t wallMsNow();
 
-/** @p event as its line, without a line end. */
+/** Formats @p event as a log line without a line break. */
 [[nodiscard]] std::string formatEvent(const Event &event, int pid);
-/** @p value, quoted and escaped where it is empty or holds blanks, quotes, `=`, `\` or control characters. */
+/** @p value, quoted and escaped if it is empty or contains spaces, quotes, `=`, `\` or control characters. */
 [[nodiscard]] std::string logValue(std::string_view value);
-/** ISO 8601 UTC with milliseconds, `2023-11-14T22:13:20.000Z`. */
+/** Formats @p wallMs as ISO 8601 UTC with milliseconds, `2023-11-14T22:13:20.000Z`. */
 [[nodiscard]] std::string isoTime(std::int64_t wallMs);
 
 } // namespace Chestnuthook
--- a/src/observe/metrics_base.cpp
+++ b/src/observe/metrics_base.cpp
@@ -1,4 +1,4 @@
-/** @file metrics_base.cpp  Metrics by atomics and Boost.Histogram. */
+/** @file metrics_base.cpp  Metrics based on atomics and Boost.Histogram. */
 #include "observe/metrics_base.h"
 
 #include <algorithm>
@@ -20,18 +20,18 @@
 namespace
 {
 
-constexpr unsigned int BinCount = 80; ///< Ten bins for each power of ten.
-constexpr unsigned int BinsPerLine = 5; ///< Bins that one line of /metrics covers.
-constexpr double LeastMs = 0.01;
-constexpr double MostMs = 1e6;
+constexpr unsigned int BinCount = 80; ///< Ten bins per decade.
+constexpr unsigned int BinsPerBucket = 5; ///< Number of histogram bins combined into one bucket in /metrics.
+constexpr double HistogramMinMs = 0.01;
+constexpr double HistogramMaxMs = 1e6;
 constexpr double UsPerMs = 1000;
 
 using Axis = boost::histogram::axis::regular<double, boost::histogram::axis::transform::log>;
 using Cell = boost::histogram::accumulators::thread_safe<std::uint64_t>;
 using Histogram = boost::histogram::histogram<std::tuple<Axis>, boost::histogram::dense_storage<Cell>>;
 
-/** Counts of all bins: below the axis, its bins, above it. */
-std::array<std::uint64_t, BinCount + 2> countsOf(const Histogram &histogram)
+/** Counts of the underflow bin, the regular bins and the overflow bin, in this order. */
+std::array<std::uint64_t, BinCount + 2> binCounts(const Histogram &histogram)
 {
     std::array<std::uint64_t, BinCount + 2> counts{};
     for (unsigned int i = 0; i < counts.size(); ++i) {
@@ -40,14 +40,14 @@
     return counts;
 }
 
-std::string numberText(double number)
+std::string formatNumber(double number)
 {
     std::array<char, 32> buffer{};
     std::snprintf(buffer.data(), buffer.size(), "%.6g", number);
     return buffer.data();
 }
 
-std::string labelValueText(std::string_view value)
+std::string escapeLabelValue(std::string_view value)
 {
     std::string text;
     for (const char c : value) {
@@ -65,28 +65,29 @@
 
 } // namespace
 
-/** One metric under one label value. */
+/** Time series of one metric for one label value. */
 struct Metrics::Series
 {
     explicit Series(bool isHistogram)
     {
         if (isHistogram) {
-            this->histogram = std::make_unique<Histogram>(std::make_tuple(Axis(BinCount, LeastMs, MostMs, "ms")));
+            this->histogram =
+                std::make_unique<Histogram>(std::make_tuple(Axis(BinCount, HistogramMinMs, HistogramMaxMs, "ms")));
         }
     }
 
-    std::atomic<std::int64_t> value{0}; ///< Value of a counter or gauge; sum in microseconds of a histogram.
-    std::unique_ptr<Histogram> histogram; ///< Set for histograms only.
-    std::atomic<bool> used{false}; ///< Something was recorded.
+    std::atomic<std::int64_t> value{0}; ///< Value of a counter or gauge; for a histogram, the sum in microseconds.
+    std::unique_ptr<Histogram> histogram; ///< Null for counters and gauges.
+    std::atomic<bool> used{false}; ///< Whether a value has been recorded.
 };
 
-/** One metric with all its label values. */
+/** One metric with the series of all its label values. */
 struct Metrics::Family
 {
-    const MetricRow *row = nullptr; ///< Its row of the table; set once.
-    std::unique_ptr<Series> bare; ///< Without a label.
-    mutable std::shared_mutex mutex; ///< Guards the map, not the series in it.
-    std::map<std::string, std::unique_ptr<Series>, std::less<>> labelled; ///< By label value; never shrinks.
+    const MetricRow *row = nullptr; ///< Row of the metric table; set in the constructor of Metrics.
+    std::unique_ptr<Series> unlabelled; ///< Series without a label.
+    mutable std::shared_mutex mutex; ///< Guards the map of labelled series, but not the series themselves.
+    std::map<std::string, std::unique_ptr<Series>, std::less<>> labelled; ///< By label value; never removed.
 };
 
 Metrics::Metrics()
@@ -94,7 +95,7 @@
 {
     for (std::size_t i = 0; i < MetricCount; ++i) {
         this->families[i].row = &metricRow(static_cast<MetricKind>(i));
-        this->families[i].bare = std::make_unique<Series>(this->families[i].row->type == MetricType::Histogram);
+        this->families[i].unlabelled = std::make_unique<Series>(this->families[i].row->type == MetricType::Histogram);
     }
 }
 
@@ -109,7 +110,7 @@
 {
     Family &family = this->familyOf(kind);
     if (label.empty() || family.row->label.empty()) {
-        return *family.bare;
+        return *family.unlabelled;
     }
     {
         const std::shared_lock lock(family.mutex);
@@ -131,7 +132,7 @@
 {
     const Family &family = this->familyOf(kind);
     if (label.empty() || family.row->label.empty()) {
-        return family.bare.get();
+        return family.unlabelled.get();
     }
     const std::shared_lock lock(family.mutex);
     const auto found = family.labelled.find(label);
@@ -160,7 +161,7 @@
 {
     Series &series = this->seriesOf(kind, label);
     if (series.histogram) {
-        // A bound keeps the sum whole; a NaN counts as zero.
+        // The upper bound prevents an overflow of the sum in microseconds. NaN is recorded as zero.
         constexpr double MaxRecordMs = 1e12;
         const double bounded = milliseconds > 0 ? std::min(milliseconds, MaxRecordMs) : 0;
         (*series.histogram)(bounded);
@@ -179,7 +180,7 @@
         return series->value.load(std::memory_order_relaxed);
     }
     std::int64_t count = 0;
-    for (const std::uint64_t bin : countsOf(*series->histogram)) {
+    for (const std::uint64_t bin : binCounts(*series->histogram)) {
         count += static_cast<std::int64_t>(bin);
     }
     return count;
@@ -191,7 +192,7 @@
     if (series == nullptr || !series->histogram) {
         return std::nullopt;
     }
-    const auto counts = countsOf(*series->histogram);
+    const auto counts = binCounts(*series->histogram);
     std::uint64_t total = 0;
     for (const std::uint64_t count : counts) {
         total += count;
@@ -199,24 +200,24 @@
     if (total == 0) {
         return std::nullopt;
     }
-    const double wanted = std::clamp(share, 0.0, 1.0) * static_cast<double>(total);
+    const double targetCount = std::clamp(share, 0.0, 1.0) * static_cast<double>(total);
     const Axis &axis = series->histogram->axis();
-    std::uint64_t below = 0;
+    std::uint64_t precedingCount = 0;
     for (unsigned int i = 0; i < counts.size(); ++i) {
         const std::uint64_t count = counts[i];
-        if (count > 0 && static_cast<double>(below + count) >= wanted) {
+        if (count > 0 && static_cast<double>(precedingCount + count) >= targetCount) {
             if (i == 0) {
-                return LeastMs;
+                return HistogramMinMs;
             }
             if (i == BinCount + 1) {
-                return MostMs;
+                return HistogramMaxMs;
             }
-            const double inside = (wanted - static_cast<double>(below)) / static_cast<double>(count);
-            return axis.value(static_cast<double>(i - 1) + std::clamp(inside, 0.0, 1.0));
+            const double fraction = (targetCount - static_cast<double>(precedingCount)) / static_cast<double>(count);
+            return axis.value(static_cast<double>(i - 1) + std::clamp(fraction, 0.0, 1.0));
         }
-        below += count;
+        precedingCount += count;
     }
-    return MostMs;
+    return HistogramMaxMs;
 }
 
 std::string Metrics::renderText() const
@@ -224,28 +225,28 @@
     std::string text;
     const auto renderSeries = [&text](const MetricRow &row, const std::string &label, const Series &series) {
         const std::string name(row.name);
-        const std::string braced = label.empty() ? std::string() : "{" + label + "}";
+        const std::string labelText = label.empty() ? std::string() : "{" + label + "}";
         if (!series.histogram) {
-            text += name + braced + " " + std::to_string(series.value.load(std::memory_order_relaxed)) + "\n";
+            text += name + labelText + " " + std::to_string(series.value.load(std::memory_order_relaxed)) + "\n";
             return;
         }
-        const auto counts = countsOf(*series.histogram);
-        const std::string lead = name + "_bucket{" + (label.empty() ? std::string() : label + ",") + "le=\"";
-        std::uint64_t running = 0;
+        const auto counts = binCounts(*series.histogram);
+        const std::string bucketPrefix = name + "_bucket{" + (label.empty() ? std::string() : label + ",") + "le=\"";
+        std::uint64_t cumulativeCount = 0;
         for (unsigned int i = 0; i <= BinCount; ++i) {
-            running += counts[i];
-            if (i % BinsPerLine == 0) {
+            cumulativeCount += counts[i];
+            if (i % BinsPerBucket == 0) {
                 const double edge = series.histogram->axis().value(static_cast<double>(i));
-                text += lead + numberText(edge) + "\"} " + std::to_string(running) + "\n";
+                text += bucketPrefix + formatNumber(edge) + "\"} " + std::to_string(cumulativeCount) + "\n";
             }
         }
-        running += counts[BinCount + 1];
-        text += lead + "+Inf\"} " + std::to_string(running) + "\n";
+        cumulativeCount += counts[BinCount + 1];
+        text += bucketPrefix + "+Inf\"} " + std::to_string(cumulativeCount) + "\n";
         const double sumMs = static_cast<double>(series.value.load(std::memory_order_relaxed)) / UsPerMs;
         std::array<char, 64> sumText{};
         std::snprintf(sumText.data(), sumText.size(), "%.3f", sumMs);
-        text += name + "_sum" + braced + " " + sumText.data() + "\n";
-        text += name + "_count" + braced + " " + std::to_string(running) + "\n";
+        text += name + "_sum" + labelText + " " + sumText.data() + "\n";
+        text += name + "_count" + labelText + " " + std::to_string(cumulativeCount) + "\n";
     };
     for (std::size_t i = 0; i < MetricCount; ++i) {
         const Family &family = this->families[i];
@@ -255,11 +256,11 @@
         text += "# TYPE " + std::string(row.name) + " " + std::string(TypeNames.at(static_cast<std::size_t>(row.type)))
             + "\n";
         const std::shared_lock lock(family.mutex);
-        if (family.labelled.empty() || family.bare->used) {
-            renderSeries(row, {}, *family.bare);
+        if (family.labelled.empty() || family.unlabelled->used) {
+            renderSeries(row, {}, *family.unlabelled);
         }
         for (const auto &[value, series] : family.labelled) {
-            renderSeries(row, std::string(row.label) + "=\"" + labelValueText(value) + "\"", *series);
+            renderSeries(row, std::string(row.label) + "=\"" + escapeLabelValue(value) + "\"", *series);
         }
     }
     return text;
@@ -267,7 +268,7 @@
 
 Metrics &metrics()
 {
-    // Never destroyed, as threads may record until the end.
+    // Never destroyed, because threads may record metrics until the process exits.
     static Metrics *const Instance = new Metrics;
     return *Instance;
 }
--- a/tests/unit/event_ring_test.cpp
+++ b/tests/unit/event_ring_test.cpp
@@ -1,4 +1,4 @@
-/** @file event_ring_test.cpp  The bounded ring of events. */
+/** @file event_ring_test.cpp  Ring buffer of events and its JSON representation. */
 #define BOOST_TEST_MODULE event_ring
 #include <boost/test/unit_test.hpp>
 
@@ -12,19 +12,19 @@
 namespace
 {
 
-Event eventOf(const std::string &value)
+Event peerLostEvent(const std::string &value)
 {
     return Event{0, HybridTime{1700000000000, 3}, 1700000000001, "entry/e1", EventKind::PeerLost, {{"peer", value}}};
 }
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(oldEventsFallOutAndTheGapIsTold)
+BOOST_AUTO_TEST_CASE(oldEventsAreDroppedAndReportedAsLost)
 {
     EventRing ring(3);
     BOOST_TEST(ring.toJson(0, 10) == R"({"oldest":1,"next_since":0,"lost":false,"events":[]})");
     for (int i = 1; i <= 5; ++i) {
-        BOOST_TEST(ring.append(eventOf(std::to_string(i))) == static_cast<std::uint64_t>(i));
+        BOOST_TEST(ring.append(peerLostEvent(std::to_string(i))) == static_cast<std::uint64_t>(i));
     }
     BOOST_TEST(ring.since(0, 10).size() == 3U);
     BOOST_TEST(ring.since(0, 10).front().sequence == 3U);
@@ -36,10 +36,10 @@
     BOOST_TEST((ring.toJson(2, 1).starts_with(R"({"oldest":3,"next_since":3,"lost":false,)")));
 }
 
-BOOST_AUTO_TEST_CASE(jsonHoldsAllParts)
+BOOST_AUTO_TEST_CASE(jsonContainsAllEventMembers)
 {
     EventRing ring;
-    ring.append(eventOf("a \"b\"\n\xff\xc3\xa9"));
+    ring.append(peerLostEvent("a \"b\"\n\xff\xc3\xa9"));
     BOOST_TEST(ring.toJson(0, 10)
         == R"({"oldest":1,"next_since":1,"lost":false,"events":[{"sequence":1,"hlc":"1700000000000.0003",)"
            R"("wall_ms":1700000000001,"process":"entry/e1","kind":"peer_lost","level":"warning",)"
@@ -48,7 +48,7 @@
            R"("}}]})");
 }
 
-BOOST_AUTO_TEST_CASE(brokenUtf8IsReplaced)
+BOOST_AUTO_TEST_CASE(invalidUtf8IsReplaced)
 {
     BOOST_TEST(jsonQuoted("\xc3") == "\"\\ufffd\"");
     BOOST_TEST(jsonQuoted("\xe2\x82") == "\"\\ufffd\\ufffd\"");
@@ -56,17 +56,17 @@
     BOOST_TEST(jsonQuoted("\xf0\x9f\x8c\xb0") == "\"\xf0\x9f\x8c\xb0\"");
 }
 
-BOOST_AUTO_TEST_CASE(threadsMayAppendAtOnce)
+BOOST_AUTO_TEST_CASE(concurrentAppendsKeepSequenceNumbersConsecutive)
 {
-    constexpr int EventsEach = 500;
+    constexpr int EventsPerThread = 500;
     EventRing ring(100);
     constexpr int ThreadCount = 4;
     std::vector<std::thread> threads;
     threads.reserve(ThreadCount);
     for (int t = 0; t < ThreadCount; ++t) {
         threads.emplace_back([&ring] {
-            for (int i = 0; i < EventsEach; ++i) {
-                ring.append(eventOf("x"));
+            for (int i = 0; i < EventsPerThread; ++i) {
+                ring.append(peerLostEvent("x"));
             }
         });
     }
--- a/tests/unit/log_test.cpp
+++ b/tests/unit/log_test.cpp
@@ -1,4 +1,4 @@
-/** @file log_test.cpp  Event lines. */
+/** @file log_test.cpp  Log lines, the log file, the ring buffer and the hybrid clock. */
 #define BOOST_TEST_MODULE log
 #include <boost/test/unit_test.hpp>
 
@@ -14,7 +14,7 @@
 
 using namespace Chestnuthook;
 
-BOOST_AUTO_TEST_CASE(valuesAreQuotedWhereNeeded)
+BOOST_AUTO_TEST_CASE(logValuesAreQuotedIfNeeded)
 {
     BOOST_TEST(logValue("plain/1:2") == "plain/1:2");
     BOOST_TEST(logValue("") == "\"\"");
@@ -24,7 +24,7 @@
     BOOST_TEST(logValue("a\nb\x01") == R"("a\nb\x01")");
 }
 
-BOOST_AUTO_TEST_CASE(aLineHoldsTimeProcessAndFields)
+BOOST_AUTO_TEST_CASE(logLineContainsTimeProcessAndFields)
 {
     const Event event{
         1, HybridTime{1700000000000, 3}, 1700000000123, "entry/e1", EventKind::CallEnded, {{"call", "2"}}};
@@ -34,7 +34,7 @@
     BOOST_TEST(isoTime(-1) == "1969-12-31T23:59:59.999Z");
 }
 
-BOOST_AUTO_TEST_CASE(everyEventHasANameOfItsOwn)
+BOOST_AUTO_TEST_CASE(eventNamesAreUniqueAndNotEmpty)
 {
     for (int i = 0; i <= static_cast<int>(EventKind::SnapshotTaken); ++i) {
         BOOST_TEST(!nameOf(static_cast<EventKind>(i)).empty());
@@ -44,7 +44,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(eventsGoToTheFileAndTheRing)
+BOOST_AUTO_TEST_CASE(eventsAreWrittenToLogFileAndRingBuffer)
 {
     char path[] = "/tmp/log_test_XXXXXX";
     const int descriptor = mkstemp(path);
@@ -74,7 +74,7 @@
     std::remove(path);
 }
 
-BOOST_AUTO_TEST_CASE(theClockComesAfterWhatItObserves)
+BOOST_AUTO_TEST_CASE(hybridClockAdvancesPastObservedTime)
 {
     const HybridTime remote{hybridNow().wallMs + 1000000, 5};
     hybridObserve(remote);
