--- a/src/timeline/timeline_type.h
+++ b/src/timeline/timeline_type.h
@@ -31,9 +31,8 @@
 struct Timeline
 {
     TimelineEvents events; ///< In order of hybrid time after mergeEvents().
-    bool partial = false; ///< At least one source could not be read completely.
-    std::vector<std::string>
-        notes; ///< Messages to the user about sources that could not be read or have dropped events.
+    bool partial = false; ///< An error kept at least one source from being read completely.
+    std::vector<std::string> notes; ///< User messages about sources with failed reads or missing events.
 };
 
 /** Selects related events. Empty criteria are ignored; an event must match all others. */
