--- a/bench/capacity_bench.cpp
+++ b/bench/capacity_bench.cpp
@@ -304,7 +304,7 @@
 void measureRpc(const Extent &extent, const std::string &mark)
 {
     ControlLoop loop("a secret of this bench", "bench");
-    const std::string address = Testing::freeAddresses(1)[0];
+    const std::string address = Testing::reserveLoopbackAddresses(1)[0];
     OfferedServices offered{nullptr, kj::heap<BucketPeer>()};
     loop.detach(serveRpc(loop.rpc(), address, kj::mv(offered)));
     RpcLink link(loop.rpc(), address);
@@ -354,7 +354,7 @@
         "entry_idle_bytes_per_s", (readAndWrittenBytes(entry) - entryBytes) / seconds, extent.judged ? 16.0 * 1024 : 0);
     printSlope("entry_idle_resident_bytes", residentBytes(entry), extent.judged ? 32.0 * 1024 * 1024 : 0);
     printSlope("control_idle_core_percent_per_entry",
-        (processorUsOf(control) - controlUs) / seconds / 1e4 / fleet.size.entries);
+        (processorUsOf(control) - controlUs) / seconds / 1e4 / fleet.options.entries);
     printSlope("control_idle_resident_bytes", residentBytes(control));
 }
 
@@ -406,7 +406,7 @@
 {
     constexpr int Endpoints = 1000;
     const Testing::TemporaryFolder folder;
-    const std::string address = Testing::freeAddresses(1)[0];
+    const std::string address = Testing::reserveLoopbackAddresses(1)[0];
     std::string endpoints;
     for (int i = 0; i < Endpoints; ++i) {
         endpoints += (i == 0 ? "" : ",") + ("10.1.2.3:" + std::to_string(10000 + i)) + "/engine/verse/dc1";
@@ -426,7 +426,7 @@
 void measureProcesses(const Extent &extent)
 {
     measureInstanceList();
-    Testing::FleetSize size;
+    Testing::FleetOptions size;
     size.entries = 2;
     Testing::ProcessFleet fleet(size);
     measureIdle(extent, fleet);
--- a/bench/control_bench.cpp
+++ b/bench/control_bench.cpp
@@ -131,7 +131,7 @@
 
 void measureCommits()
 {
-    FleetSize size;
+    FleetOptions size;
     size.controls = 3;
     size.entries = size.engines = size.services = 0;
     ProcessFleet fleet(size);
@@ -153,7 +153,7 @@
 
 void measureRestart()
 {
-    FleetSize size;
+    FleetOptions size;
     size.controls = 3;
     size.entries = size.engines = size.services = 0;
     ProcessFleet fleet(size);
@@ -207,7 +207,7 @@
 
 void measureForce()
 {
-    FleetSize size;
+    FleetOptions size;
     size.controls = 3;
     size.entries = smoke ? 2 : 9;
     ProcessFleet fleet(size);
--- a/tests/process/admission_test.cpp
+++ b/tests/process/admission_test.cpp
@@ -104,9 +104,9 @@
     std::vector<std::thread> threads; ///< Callers.
 };
 
-FleetSize sizeOf(int entries)
+FleetOptions sizeOf(int entries)
 {
-    FleetSize size;
+    FleetOptions size;
     size.entries = entries;
     return size;
 }
--- a/tests/process/control_test.cpp
+++ b/tests/process/control_test.cpp
@@ -22,9 +22,9 @@
 const std::string ModelCall =
     R"({"kind":"model","model":"verse","messages":[{"role":"user","content":"A verse"}],"max_tokens":4})";
 
-FleetSize threeControls(int entries = 1)
+FleetOptions threeControls(int entries = 1)
 {
-    FleetSize size;
+    FleetOptions size;
     size.controls = 3;
     size.entries = entries;
     return size;
@@ -185,7 +185,7 @@
 
 BOOST_AUTO_TEST_CASE(a_member_whose_disk_is_full_ends_itself_and_loses_nothing_that_it_acknowledged)
 {
-    FleetSize size;
+    FleetOptions size;
     size.entries = size.engines = size.services = 0;
     ProcessFleet fleet(size);
     ControlProbe probe(fleet);
--- a/tests/process/ctl_test.cpp
+++ b/tests/process/ctl_test.cpp
@@ -100,7 +100,7 @@
 
 BOOST_AUTO_TEST_CASE(apply_says_which_entry_lags)
 {
-    FleetSize size;
+    FleetOptions size;
     size.entries = 2;
     ProcessFleet fleet(size);
     fleet.processes.at("entry-1")->signal(SIGSTOP);
@@ -152,7 +152,7 @@
 
 BOOST_AUTO_TEST_CASE(a_drained_entry_hands_over_its_slots_and_ends)
 {
-    FleetSize size;
+    FleetOptions size;
     size.entries = 2;
     ProcessFleet fleet(size);
     BOOST_TEST(fleet.ctl({"drain", "entry-9"}).exitCode == 1);
@@ -168,8 +168,8 @@
 
 BOOST_AUTO_TEST_CASE(a_fleet_that_can_not_be_reached_is_told_so)
 {
-    const CommandResult status =
-        runCommand("chestnuthook-ctl", {"--controls=" + freeAddresses(1)[0], "status"}, {"CHESTNUTHOOK_SECRET=x"});
+    const CommandResult status = runCommand(
+        "chestnuthook-ctl", {"--controls=" + reserveLoopbackAddresses(1)[0], "status"}, {"CHESTNUTHOOK_SECRET=x"});
     BOOST_TEST(status.exitCode == 1, status.output);
     BOOST_TEST(contains(status.output, "remedy: bring up a majority"), status.output);
 }
--- a/tests/process/dispatch_test.cpp
+++ b/tests/process/dispatch_test.cpp
@@ -18,9 +18,9 @@
 const std::string ModelCall =
     R"({"kind":"model","model":"verse","messages":[{"role":"user","content":"A verse for a card"}],"max_tokens":100})";
 
-FleetSize sizeOf(int entries, int engines)
+FleetOptions sizeOf(int entries, int engines)
 {
-    FleetSize size;
+    FleetOptions size;
     size.entries = entries;
     size.engines = engines;
     size.engineFlags = {"--token_ms=10"};
--- a/tests/process/freshness_test.cpp
+++ b/tests/process/freshness_test.cpp
@@ -12,9 +12,9 @@
 namespace
 {
 
-FleetSize threeControls()
+FleetOptions threeControls()
 {
-    FleetSize size;
+    FleetOptions size;
     size.controls = 3;
     size.entries = 2;
     return size;
@@ -67,7 +67,7 @@
 
 BOOST_AUTO_TEST_CASE(a_stream_of_a_withdrawn_key_ends_at_an_entry_that_followed_the_isolated_leader)
 {
-    FleetSize size = threeControls();
+    FleetOptions size = threeControls();
     size.engineFlags = {"--token_ms=1500"}; // An answer has eight tokens or more: twelve seconds.
     ProcessFleet fleet(size);
     ControlProbe probe(fleet);
--- a/tests/process/load_test.cpp
+++ b/tests/process/load_test.cpp
@@ -42,7 +42,7 @@
 
 BOOST_AUTO_TEST_CASE(a_run_with_faults_reports_measures_promises_and_what_was_done)
 {
-    FleetSize size;
+    FleetOptions size;
     size.entries = 2;
     size.engines = 2;
     ProcessFleet fleet(size);
--- a/tests/process/membership_test.cpp
+++ b/tests/process/membership_test.cpp
@@ -12,9 +12,9 @@
 namespace
 {
 
-FleetSize threeControls()
+FleetOptions threeControls()
 {
-    FleetSize size;
+    FleetOptions size;
     size.controls = 3;
     size.controlFlags = {"--snapshot_entries=20"}; // So that a new member is brought up by a snapshot.
     return size;
@@ -50,7 +50,7 @@
     const std::size_t lost = (probe.leader() + 1) % 3;
     kill(fleet, lost);
     const std::uint64_t revision = applyChanges(probe, probe.leader(lost), 30);
-    fleet.controlAddresses.push_back(freeAddresses(1)[0]);
+    fleet.controlAddresses.push_back(reserveLoopbackAddresses(1)[0]);
     fleet.startControl(3);
     const CommandResult removed = fleet.ctl({"members", "remove", controlName(lost)});
     BOOST_TEST(removed.exitCode == 0, removed.output);
--- a/tests/process/platform_test.cpp
+++ b/tests/process/platform_test.cpp
@@ -109,12 +109,12 @@
             return "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(list.size()) + "\r\n\r\n" + list;
         })
     {
-        this->inner = Poco::Net::SocketAddress(heldAddress("127.0.0.2")).port();
-        this->callers = heldAddress("127.0.0.4");
-        this->ready = heldAddress("127.0.0.4");
-        this->operators = heldAddress("127.0.0.2");
-        this->directory = heldAddress("127.0.0.2");
-        this->otherDirectory = heldAddress("127.0.0.3");
+        this->inner = Poco::Net::SocketAddress(reserveAddress("127.0.0.2")).port();
+        this->callers = reserveAddress("127.0.0.4");
+        this->ready = reserveAddress("127.0.0.4");
+        this->operators = reserveAddress("127.0.0.2");
+        this->directory = reserveAddress("127.0.0.2");
+        this->otherDirectory = reserveAddress("127.0.0.3");
         this->start(true);
     }
     ~Deployment() = default;
--- a/tests/process/security_link_test.cpp
+++ b/tests/process/security_link_test.cpp
@@ -65,7 +65,7 @@
     const std::string other = folder.path + "/other";
     writeCertificate(other, "another authority");
     writeCertificate(folder.path + "/stranger", FleetSecurity::FleetServerName, other);
-    FleetSize size;
+    FleetOptions size;
     size.entries = 2;
     size.entryFlags = size.controlFlags = size.ctlFlags = tlsFlags(member, authority);
     ProcessFleet fleet(size);
--- a/tests/process/security_test.cpp
+++ b/tests/process/security_test.cpp
@@ -110,9 +110,9 @@
     Poco::Net::StreamSocket socket; ///< To the entry.
 };
 
-FleetSize withEntryFlags(std::vector<std::string> flags)
+FleetOptions withEntryFlags(std::vector<std::string> flags)
 {
-    FleetSize size;
+    FleetOptions size;
     size.entryFlags = std::move(flags);
     return size;
 }
@@ -234,13 +234,14 @@
     const std::string prefix = folder.path + "/entry";
     writeCertificate(prefix, "first.example");
     Poco::Net::initializeSSL();
-    const FleetSize size;
+    const FleetOptions size;
     ProcessFleet fleet(size);
-    const std::string address = freeAddresses(1)[0];
+    const std::string address = reserveLoopbackAddresses(1)[0];
     ChildProcess entry("chestnuthook-entry",
-        {"--listen=" + address, "--rpc_listen=" + freeAddresses(1)[0], "--controls=" + fleet.controlAddresses[0],
-            "--platform=" + fleet.platformAddress, "--entry=tls", "--secret_file=" + fleet.folder + "/secret",
-            "--tls_certificate=" + prefix + ".crt", "--tls_key=" + prefix + ".key"},
+        {"--listen=" + address, "--rpc_listen=" + reserveLoopbackAddresses(1)[0],
+            "--controls=" + fleet.controlAddresses[0], "--platform=" + fleet.platformAddress, "--entry=tls",
+            "--secret_file=" + fleet.folder + "/secret", "--tls_certificate=" + prefix + ".crt",
+            "--tls_key=" + prefix + ".key"},
         fleet.folder + "/tls.log");
     Poco::Net::Context::Ptr context =
         new Poco::Net::Context(Poco::Net::Context::TLS_CLIENT_USE, "", "", "", Poco::Net::Context::VERIFY_NONE);
--- a/tests/process/soak_test.cpp
+++ b/tests/process/soak_test.cpp
@@ -148,7 +148,7 @@
             return "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(list.size()) + "\r\n\r\n" + list;
         })
     {
-        const std::string first = heldAddress("127.0.1.1");
+        const std::string first = reserveAddress("127.0.1.1");
         const auto inner = static_cast<unsigned short>(std::stoul(first.substr(first.find(':') + 1)));
         const auto add = [&](const std::string &program, int host, const std::string &listen) {
             PlatformInstance one;
@@ -161,12 +161,12 @@
             one.platform = this->platform.address;
             one.lossesToBear = 1;
             if (host != 1) {
-                heldAddress(one.ip, inner);
+                reserveAddress(one.ip, inner);
             }
             this->instances.push_back(one);
         };
         for (int host = 1; host <= 3; ++host) {
-            this->operators.push_back(heldAddress("127.0.1." + std::to_string(host)));
+            this->operators.push_back(reserveAddress("127.0.1." + std::to_string(host)));
             add("deployment", host, R"("control":")" + this->operators.back() + "\"");
         }
         for (int host = 11; host <= 13; ++host) {
@@ -174,8 +174,8 @@
         }
         for (int host = 21; host <= 22; ++host) {
             const std::string ip = "127.0.1." + std::to_string(host);
-            this->gateways.push_back(heldAddress(ip));
-            add("gateway", host, R"("front":")" + this->gateways.back() + R"(","ready":")" + heldAddress(ip) + "\"");
+            this->gateways.push_back(reserveAddress(ip));
+            add("gateway", host, R"("front":")" + this->gateways.back() + R"(","ready":")" + reserveAddress(ip) + "\"");
             this->callerLinks.emplace_back(this->gateways.back());
         }
         this->processes.resize(this->instances.size());
--- a/tests/process/thin_path_test.cpp
+++ b/tests/process/thin_path_test.cpp
@@ -104,8 +104,8 @@
     }
     const CommandResult secret = runCommand("chestnuthook-entry", {});
     BOOST_TEST(secret.exitCode == 2, secret.output);
-    const CommandResult folder = runCommand(
-        "chestnuthook-control", {"--listen=" + freeAddresses(1)[0], "--data=/proc/none"}, {"CHESTNUTHOOK_SECRET=test"});
+    const CommandResult folder = runCommand("chestnuthook-control",
+        {"--listen=" + reserveLoopbackAddresses(1)[0], "--data=/proc/none"}, {"CHESTNUTHOOK_SECRET=test"});
     BOOST_TEST(folder.exitCode == 4, folder.output);
     ProcessFleet fleet;
     const CommandResult busy = runCommand("chestnuthook-control",
--- a/tests/process/timeline_test.cpp
+++ b/tests/process/timeline_test.cpp
@@ -57,7 +57,7 @@
 BOOST_AUTO_TEST_CASE(sources_that_fail_are_noted_and_the_rest_is_read)
 {
     ProcessFleet fleet;
-    const std::string none = freeAddresses(1)[0];
+    const std::string none = reserveLoopbackAddresses(1)[0];
     const CommandResult partly = runCommand(
         "chestnuthook-timeline", {"--sources=" + fleet.entryAddresses[0] + "," + none, "--logs=/nowhere/x.log"});
     BOOST_TEST(partly.exitCode == 1);
--- a/tests/support/process_fleet.cpp
+++ b/tests/support/process_fleet.cpp
@@ -196,7 +196,7 @@
     return result;
 }
 
-std::string heldAddress(const std::string &ip, unsigned short port)
+std::string reserveAddress(const std::string &ip, unsigned short port)
 {
     // Bound until the test ends: neither a bind to port 0 nor an outgoing connection of another process then gets the
     // port, while a program that listens with SO_REUSEADDR can.
@@ -206,11 +206,11 @@
     return held.back().address().toString();
 }
 
-std::vector<std::string> freeAddresses(int count)
+std::vector<std::string> reserveLoopbackAddresses(int count)
 {
     std::vector<std::string> addresses(static_cast<std::size_t>(count));
     for (std::string &address : addresses) {
-        address = heldAddress("127.0.0.1");
+        address = reserveAddress("127.0.0.1");
     }
     return addresses;
 }
@@ -239,29 +239,29 @@
     return {std::istreambuf_iterator<char>(stream), {}};
 }
 
-ProcessFleet::ProcessFleet(FleetSize wanted)
-    : size(std::move(wanted))
+ProcessFleet::ProcessFleet(FleetOptions wanted)
+    : options(std::move(wanted))
 {
-    const bool verse = this->size.site == "kortagatt";
+    const bool verse = this->options.site == "kortagatt";
     this->tenant = verse ? "bjarkaprent" : "tamarbond";
     this->model = verse ? "verse" : "order";
     this->service = verse ? "print" : "dispatch";
     std::string pattern = (std::filesystem::temp_directory_path() / "chestnuthook-fleet-XXXXXX").string();
     this->folder = ::mkdtemp(pattern.data());
     std::ofstream(this->folder + "/secret") << "a secret of this test fleet";
-    const std::vector<std::string> addresses =
-        freeAddresses(1 + this->size.controls + 2 * this->size.entries + this->size.engines + this->size.services);
+    const std::vector<std::string> addresses = reserveLoopbackAddresses(
+        1 + this->options.controls + 2 * this->options.entries + this->options.engines + this->options.services);
     auto next = addresses.begin();
     this->platformAddress = *next++;
     const auto take = [&next](std::vector<std::string> &list, int count) {
         list.assign(next, next + count);
         next += count;
     };
-    take(this->controlAddresses, this->size.controls);
-    take(this->entryAddresses, this->size.entries);
-    take(this->entryRpcAddresses, this->size.entries);
-    take(this->engineAddresses, this->size.engines);
-    take(this->serviceAddresses, this->size.services);
+    take(this->controlAddresses, this->options.controls);
+    take(this->entryAddresses, this->options.entries);
+    take(this->entryRpcAddresses, this->options.entries);
+    take(this->engineAddresses, this->options.engines);
+    take(this->serviceAddresses, this->options.services);
     std::string endpoints;
     for (const std::string &address : this->engineAddresses) {
         endpoints += (endpoints.empty() ? "" : ",") + address + "/engine/" + this->model + "/dc1";
@@ -281,7 +281,7 @@
         this->startControl(i);
     }
     const std::vector<std::string> apply = {
-        "apply", sourcePath("deploy/base.yaml"), sourcePath("deploy/" + this->size.site + ".yaml")};
+        "apply", sourcePath("deploy/base.yaml"), sourcePath("deploy/" + this->options.site + ".yaml")};
     if (!waitUntil([&]() {
             return this->ctl(apply).exitCode == 0;
         })) {
@@ -346,13 +346,13 @@
 {
     const std::string name = "control-" + std::to_string(index);
     std::string members;
-    for (std::size_t i = 0; i < static_cast<std::size_t>(this->size.controls); ++i) {
+    for (std::size_t i = 0; i < static_cast<std::size_t>(this->options.controls); ++i) {
         members += (i == 0 ? "" : ",") + ("control-" + std::to_string(i)) + "=" + this->controlAddresses[i];
     }
     std::vector<std::string> arguments = {"--listen=" + this->controlAddresses[index], "--member=" + name,
-        index < static_cast<std::size_t>(this->size.controls) ? "--members=" + members : "--join", "--test_hooks",
+        index < static_cast<std::size_t>(this->options.controls) ? "--members=" + members : "--join", "--test_hooks",
         "--data=" + this->folder + "/" + name, "--secret_file=" + this->folder + "/secret"};
-    arguments.insert(arguments.end(), this->size.controlFlags.begin(), this->size.controlFlags.end());
+    arguments.insert(arguments.end(), this->options.controlFlags.begin(), this->options.controlFlags.end());
     this->start(name, "chestnuthook-control", std::move(arguments));
 }
 
@@ -367,7 +367,7 @@
         "--rpc_listen=" + this->entryRpcAddresses[index], "--controls=" + controls,
         "--platform=" + this->platformAddress, "--entry=" + name, "--data_centre=dc1",
         "--secret_file=" + this->folder + "/secret"};
-    arguments.insert(arguments.end(), this->size.entryFlags.begin(), this->size.entryFlags.end());
+    arguments.insert(arguments.end(), this->options.entryFlags.begin(), this->options.entryFlags.end());
     this->start(name, "chestnuthook-entry", std::move(arguments));
 }
 
@@ -375,7 +375,7 @@
 {
     std::vector<std::string> arguments = {
         "engine", "--listen=" + this->engineAddresses[index], "--models=" + this->model};
-    arguments.insert(arguments.end(), this->size.engineFlags.begin(), this->size.engineFlags.end());
+    arguments.insert(arguments.end(), this->options.engineFlags.begin(), this->options.engineFlags.end());
     this->start("engine-" + std::to_string(index), "chestnuthook-fakes", std::move(arguments));
 }
 
@@ -392,7 +392,7 @@
 
 std::string ProcessFleet::sitePath() const
 {
-    return sourcePath("deploy/" + this->size.site + ".yaml");
+    return sourcePath("deploy/" + this->options.site + ".yaml");
 }
 
 CommandResult ProcessFleet::ctl(std::vector<std::string> arguments) const
@@ -402,7 +402,7 @@
         controls += (controls.empty() ? "" : ",") + address;
     }
     arguments.insert(arguments.begin(), {"--controls=" + controls, "--secret_file=" + this->folder + "/secret"});
-    arguments.insert(arguments.begin(), this->size.ctlFlags.begin(), this->size.ctlFlags.end());
+    arguments.insert(arguments.begin(), this->options.ctlFlags.begin(), this->options.ctlFlags.end());
     return runCommand("chestnuthook-ctl", std::move(arguments));
 }
 
--- a/tests/support/process_fleet.h
+++ b/tests/support/process_fleet.h
@@ -65,7 +65,7 @@
 };
 
 /** How many of each a fleet has. */
-struct FleetSize
+struct FleetOptions
 {
     int controls = 1; ///< Control members.
     int entries = 1; ///< Entries.
@@ -82,12 +82,12 @@
 class ProcessFleet
 {
 public:
-    explicit ProcessFleet(FleetSize size = {});
+    explicit ProcessFleet(FleetOptions wanted = {});
     ~ProcessFleet();
     ProcessFleet(const ProcessFleet &) = delete;
     ProcessFleet &operator=(const ProcessFleet &) = delete;
 
-    /** Members past the first `size.controls` wait to be added; push their address to controlAddresses before. */
+    /** Members past the first `options.controls` wait to be added; push their address to controlAddresses before. */
     void startControl(std::size_t index);
     void startEntry(std::size_t index);
     void startEngine(std::size_t index);
@@ -113,7 +113,7 @@
     /** Requests in the ledger of the fake at @p address that contain @p text. */
     static int ledgerCount(const std::string &address, const std::string &text);
 
-    const FleetSize size; ///< As asked for.
+    const FleetOptions options; ///< As asked for.
     std::string folder; ///< Data, logs and secret.
     std::string tenant; ///< First tenant of the site.
     std::string model; ///< Model of the site.
@@ -144,10 +144,10 @@
 
 /** @return ip:port of @p port, or any where it is 0, at @p ip that nobody else is given while the test runs; only a
  * listener with SO_REUSEADDR gets it. */
-std::string heldAddress(const std::string &ip, unsigned short port = 0);
+std::string reserveAddress(const std::string &ip, unsigned short port = 0);
 
-/** @p count loopback ports as ip:port, held like one of heldAddress(). */
-std::vector<std::string> freeAddresses(int count);
+/** @p count loopback ports as ip:port, held like one of reserveAddress(). */
+std::vector<std::string> reserveLoopbackAddresses(int count);
 
 /** A folder that is removed with the object, unless it is to be kept. */
 struct TemporaryFolder
