--- a/tests/support/certificate_func.cpp
+++ b/tests/support/certificate_func.cpp
@@ -1,4 +1,4 @@
-/** @file certificate_func.cpp  Makes certificates with OpenSSL. */
+/** @file certificate_func.cpp  Generates certificates with OpenSSL. */
 #include "support/certificate_func.h"
 
 #include <cstdio>
@@ -15,7 +15,7 @@
 namespace
 {
 
-constexpr long ValidSeconds = 3600;
+constexpr long ValiditySeconds = 3600;
 
 using Key = std::unique_ptr<EVP_PKEY, decltype(&EVP_PKEY_free)>;
 using Certificate = std::unique_ptr<X509, decltype(&X509_free)>;
@@ -30,29 +30,29 @@
     return file;
 }
 
-void addExtension(X509 *certificate, int kind, const std::string &value)
+void addExtension(X509 *certificate, int extensionId, const std::string &value)
 {
     X509V3_CTX context;
     X509V3_set_ctx_nodb(&context);
     X509V3_set_ctx(&context, certificate, certificate, nullptr, nullptr, 0);
-    X509_EXTENSION *extension = X509V3_EXT_conf_nid(nullptr, &context, kind, value.c_str());
+    X509_EXTENSION *extension = X509V3_EXT_conf_nid(nullptr, &context, extensionId, value.c_str());
     X509_add_ext(certificate, extension, -1);
     X509_EXTENSION_free(extension);
 }
 
-Certificate unsignedCertificate(const std::string &name, EVP_PKEY *key, bool authority)
+Certificate createUnsignedCertificate(const std::string &name, EVP_PKEY *key, bool isAuthority)
 {
     static long serial = 1;
     Certificate certificate(X509_new(), &X509_free);
     X509_set_version(certificate.get(), 2);
     ASN1_INTEGER_set(X509_get_serialNumber(certificate.get()), serial++);
-    X509_gmtime_adj(X509_getm_notBefore(certificate.get()), -ValidSeconds);
-    X509_gmtime_adj(X509_getm_notAfter(certificate.get()), ValidSeconds);
+    X509_gmtime_adj(X509_getm_notBefore(certificate.get()), -ValiditySeconds);
+    X509_gmtime_adj(X509_getm_notAfter(certificate.get()), ValiditySeconds);
     X509_set_pubkey(certificate.get(), key);
     X509_NAME_add_entry_by_txt(X509_get_subject_name(certificate.get()), "CN", MBSTRING_ASC,
         reinterpret_cast<const unsigned char *>(name.c_str()), -1, -1, 0);
     addExtension(certificate.get(), NID_subject_alt_name, "DNS:" + name);
-    addExtension(certificate.get(), NID_basic_constraints, authority ? "critical,CA:TRUE" : "CA:FALSE");
+    addExtension(certificate.get(), NID_basic_constraints, isAuthority ? "critical,CA:TRUE" : "CA:FALSE");
     return certificate;
 }
 
@@ -61,7 +61,7 @@
 void writeCertificate(const std::string &prefix, const std::string &name, const std::string &issuer)
 {
     const Key key(EVP_EC_gen("P-256"), &EVP_PKEY_free);
-    Certificate certificate = unsignedCertificate(name, key.get(), issuer.empty());
+    Certificate certificate = createUnsignedCertificate(name, key.get(), issuer.empty());
     if (issuer.empty()) {
         X509_set_issuer_name(certificate.get(), X509_get_subject_name(certificate.get()));
         X509_sign(certificate.get(), key.get(), EVP_sha256());
--- a/tests/support/certificate_func.h
+++ b/tests/support/certificate_func.h
@@ -1,4 +1,4 @@
-/** @file certificate_func.h  Certificates for tests: made anew by each, valid for an hour. */
+/** @file certificate_func.h  Generates short-lived X.509 certificates for tests. */
 #pragma once
 
 #include <string>
@@ -6,9 +6,9 @@
 namespace Chestnuthook::Testing
 {
 
-/** Writes a certificate for the DNS name @p name and its key as PEM files. It is signed by the key and certificate in
- * @p issuer (the prefix of a pair made before), or by itself where that is empty.
- * Files: @p prefix + ".crt" and @p prefix + ".key". @throws std::runtime_error */
+/** Generates a key and a certificate for the DNS name @p name, valid for an hour, and writes them as the PEM files
+ * @p prefix + ".key" and @p prefix + ".crt". The certificate is signed by the pair with the prefix @p issuer. If that
+ * is empty, it is a self-signed certificate authority. @throws std::runtime_error if a file can't be opened. */
 void writeCertificate(const std::string &prefix, const std::string &name, const std::string &issuer = "");
 
 } // namespace Chestnuthook::Testing
--- a/tests/support/process_fleet.cpp
+++ b/tests/support/process_fleet.cpp
@@ -1,4 +1,4 @@
-/** @file process_fleet.cpp  Processes, requests and waiting for tests. */
+/** @file process_fleet.cpp  Child processes, HTTP requests, reserved addresses and polling for tests. */
 #include "support/process_fleet.h"
 
 #include <cerrno>
@@ -29,8 +29,8 @@
 namespace
 {
 
-constexpr long AnswerSeconds = 60;
-constexpr auto LookPeriod = std::chrono::milliseconds(20);
+constexpr long ResponseTimeoutSeconds = 60;
+constexpr auto PollInterval = std::chrono::milliseconds(20);
 
 std::string binaryPath(const std::string &binary)
 {
@@ -44,7 +44,7 @@
     return (folder == nullptr ? std::string(".") : std::string(folder)) + "/" + path;
 }
 
-std::vector<std::string> environmentWith(const std::vector<std::string> &added)
+std::vector<std::string> childEnvironment(const std::vector<std::string> &added)
 {
     std::vector<std::string> environment;
     for (char **variable = environ; *variable != nullptr; ++variable) {
@@ -56,7 +56,7 @@
     return environment;
 }
 
-std::vector<char *> pointersTo(std::vector<std::string> &texts)
+std::vector<char *> toArgumentPointers(std::vector<std::string> &texts)
 {
     std::vector<char *> pointers;
     pointers.reserve(texts.size() + 1);
@@ -72,17 +72,17 @@
 {
     const std::string path = binaryPath(binary);
     arguments.insert(arguments.begin(), path);
-    std::vector<std::string> variables = environmentWith(environment);
+    std::vector<std::string> variables = childEnvironment(environment);
     posix_spawn_file_actions_t actions;
     posix_spawn_file_actions_init(&actions);
     posix_spawn_file_actions_addopen(&actions, STDIN_FILENO, "/dev/null", O_RDONLY, 0);
     posix_spawn_file_actions_addopen(&actions, STDOUT_FILENO, logFile.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0600);
     posix_spawn_file_actions_adddup2(&actions, STDOUT_FILENO, STDERR_FILENO);
-    // Connections of the test must end when the test closes them, not when the program ends.
+    // A child that inherits the sockets of the test would keep connections open that the test has closed.
     posix_spawn_file_actions_addclosefrom_np(&actions, STDERR_FILENO + 1);
     pid_t pid = -1;
-    const int error =
-        posix_spawn(&pid, path.c_str(), &actions, nullptr, pointersTo(arguments).data(), pointersTo(variables).data());
+    const int error = posix_spawn(&pid, path.c_str(), &actions, nullptr, toArgumentPointers(arguments).data(),
+        toArgumentPointers(variables).data());
     posix_spawn_file_actions_destroy(&actions);
     if (error != 0) {
         throw std::runtime_error("can't start " + path);
@@ -98,7 +98,7 @@
     HttpAnswer answer;
     try {
         Poco::Net::HTTPClientSession session{Poco::Net::SocketAddress(address)};
-        session.setTimeout(Poco::Timespan(AnswerSeconds, 0));
+        session.setTimeout(Poco::Timespan(ResponseTimeoutSeconds, 0));
         session.setKeepAlive(false);
         Poco::Net::HTTPRequest request(method, path, Poco::Net::HTTPMessage::HTTP_1_1);
         for (const auto &[name, value] : headers) {
@@ -149,13 +149,13 @@
     }
 }
 
-int ChildProcess::wait(std::chrono::milliseconds patience)
+int ChildProcess::wait(std::chrono::milliseconds timeout)
 {
     waitUntil(
         [this]() {
             return !this->isRunning();
         },
-        patience);
+        timeout);
     return this->exitCode;
 }
 
@@ -173,14 +173,14 @@
     return false;
 }
 
-bool waitUntil(const std::function<bool()> &condition, std::chrono::milliseconds patience)
+bool waitUntil(const std::function<bool()> &condition, std::chrono::milliseconds timeout)
 {
-    const auto end = std::chrono::steady_clock::now() + patience;
+    const auto end = std::chrono::steady_clock::now() + timeout;
     while (!condition()) {
         if (std::chrono::steady_clock::now() >= end) {
             return false;
         }
-        std::this_thread::sleep_for(LookPeriod);
+        std::this_thread::sleep_for(PollInterval);
     }
     return true;
 }
@@ -198,8 +198,9 @@
 
 std::string reserveAddress(const std::string &ip, unsigned short port)
 {
-    // Bound until the test ends: neither a bind to port 0 nor an outgoing connection of another process then gets the
-    // port, while a program that listens with SO_REUSEADDR can.
+    // The sockets stay bound, without listening, until the test process ends. Another process then gets the port
+    // neither by a bind to port 0 nor for an outgoing connection, while a program that binds it with SO_REUSEADDR can
+    // listen on it.
     static std::vector<Poco::Net::ServerSocket> held;
     held.emplace_back();
     held.back().bind(Poco::Net::SocketAddress(ip, port), true, false);
@@ -219,7 +220,7 @@
 {
     std::string pattern = (std::filesystem::temp_directory_path() / "chestnuthook-XXXXXX").string();
     if (::mkdtemp(pattern.data()) == nullptr) {
-        throw std::runtime_error("no temporary folder");
+        throw std::runtime_error("can't create a temporary folder");
     }
     this->path = pattern;
 }
@@ -296,11 +297,11 @@
         if (!waitUntil([&]() {
                 return http(address, "GET", "/readyz").status == 200;
             })) {
-            throw std::runtime_error("entry " + address + " is not ready; its output ends:\n"
-                + this->outputEnd("entry-" + std::to_string(i)) + this->endedProcesses());
+            throw std::runtime_error("entry " + address + " is not ready; the end of its output:\n"
+                + this->outputTail("entry-" + std::to_string(i)) + this->describeExitedProcesses());
         }
     }
-    // All entries must hold the key before a test begins.
+    // Keys reach the entries with a delay, and a test must not begin with an entry that still answers 401.
     for (const std::string &address : this->entryAddresses) {
         waitUntil([&]() {
             return httpAs(this->key, address, "GET", "/v1/programs/none").status != 401;
@@ -317,19 +318,19 @@
     }
 }
 
-std::string ProcessFleet::outputEnd(const std::string &name) const
+std::string ProcessFleet::outputTail(const std::string &name) const
 {
     constexpr std::size_t Shown = 3000;
     const std::string output = readFile(this->folder + "/" + name + ".log");
     return output.substr(output.size() - std::min(output.size(), Shown));
 }
 
-std::string ProcessFleet::endedProcesses()
+std::string ProcessFleet::describeExitedProcesses()
 {
     std::string text;
     for (const auto &[name, process] : this->processes) {
         if (!process->isRunning()) {
-            text += name + " has ended by itself; its output ends:\n" + this->outputEnd(name);
+            text += name + " exited unexpectedly; the end of its output:\n" + this->outputTail(name);
         }
     }
     return text;
@@ -411,7 +412,7 @@
     const CommandResult issued = this->ctl({"keys", "issue", forTenant});
     const std::size_t at = issued.output.find("key chk-");
     if (issued.exitCode != 0 || at == std::string::npos) {
-        throw std::runtime_error("no key: " + issued.output);
+        throw std::runtime_error("can't issue a key: " + issued.output);
     }
     std::string issuedKey;
     std::istringstream(issued.output.substr(at + 4)) >> issuedKey;
@@ -429,7 +430,7 @@
     const HttpAnswer created = this->ask(index, "POST", "/v1/programs", body);
     const std::size_t at = created.body.find("\"id\":\"");
     if (created.status != 201 || at == std::string::npos) {
-        throw std::runtime_error("no program: " + created.body);
+        throw std::runtime_error("can't create a program: " + created.body);
     }
     const std::size_t begin = at + 6;
     return created.body.substr(begin, created.body.find('"', begin) - begin);
--- a/tests/support/process_fleet.h
+++ b/tests/support/process_fleet.h
@@ -1,4 +1,4 @@
-/** @file process_fleet.h  Starts real processes for tests, talks to them, and ends them by their ids. */
+/** @file process_fleet.h  Starts and stops the real programs as child processes and sends requests to them. */
 #pragma once
 
 #include <chrono>
@@ -13,72 +13,78 @@
 namespace Chestnuthook::Testing
 {
 
-/** An HTTP answer; status 0 where the connection failed. */
+/** An HTTP response. */
 struct HttpAnswer
 {
-    int status = 0; ///< HTTP status.
-    std::string body; ///< All that came.
-    std::map<std::string, std::string> headers; ///< Of the answer.
-    bool complete = false; ///< The body ended as HTTP says it should.
+    int status = 0; ///< HTTP status; 0 if no response arrived.
+    std::string body; ///< The part of the body that arrived.
+    std::map<std::string, std::string> headers; ///< Response headers by name.
+    bool complete = false; ///< The response arrived without an error of the connection.
 };
 
 using Headers = std::vector<std::pair<std::string, std::string>>;
 
-/** Sends one request on a connection of its own. Does not throw. */
+/** Sends one request on a new connection and waits for the response, at most 60 s. Does not throw. */
 HttpAnswer http(const std::string &address, const std::string &method, const std::string &path,
     const std::string &body = "", const Headers &headers = {});
 
-/** The same with a caller's key. */
+/** Like http(), with @p key as bearer token. */
 HttpAnswer httpAs(const std::string &key, const std::string &address, const std::string &method,
     const std::string &path, const std::string &body = "", Headers headers = {});
 
-/** One process that a test started. */
+/** A child process; killed by the destructor if it still runs. */
 class ChildProcess
 {
 public:
-    /** Starts @p binary (a name in build/bin) with @p arguments; output goes to @p logFile. */
+    /** Starts @p binary (a name in build/bin, or in $CHESTNUTHOOK_BIN) with @p arguments. Its output is appended to
+     * @p logFile. The environment is that of the test without CHESTNUTHOOK_ variables, plus @p environment.
+     * @throws std::runtime_error */
     ChildProcess(const std::string &binary, std::vector<std::string> arguments, const std::string &logFile,
         const std::vector<std::string> &environment = {});
     ~ChildProcess();
     ChildProcess(const ChildProcess &) = delete;
     ChildProcess &operator=(const ChildProcess &) = delete;
 
+    /** Sends signal @p number unless the process has already been reaped. */
     void signal(int number) const;
 
-    /** Waits for the end. @return the exit code, 128 + signal, or -1 where it still runs after @p patience. */
-    int wait(std::chrono::milliseconds patience = std::chrono::seconds(20));
+    /** Waits for the process to exit. @return the exit code, 128 + the number of the signal that killed it, or -1 if it
+     * still runs after @p timeout. */
+    int wait(std::chrono::milliseconds timeout = std::chrono::seconds(20));
 
     [[nodiscard]] bool isRunning();
 
-    const pid_t pid; ///< Its id.
+    const pid_t pid; ///< Process id.
 
 private:
-    bool reaped = false; ///< It has ended and was waited for.
-    int exitCode = -1; ///< Valid once reaped.
+    bool reaped = false; ///< waitpid() has returned its exit status.
+    int exitCode = -1; ///< Valid once `reaped` is true.
 };
 
-/** What a finished command printed. */
+/** The result of a command. */
 struct CommandResult
 {
-    int exitCode = -1; ///< As ChildProcess::wait gives it.
-    std::string output; ///< Standard output and error.
+    int exitCode = -1; ///< The result of ChildProcess::wait().
+    std::string output; ///< Standard output and standard error.
 };
 
-/** How many of each a fleet has. */
+/** The number of processes of a ProcessFleet, and their extra flags. */
 struct FleetOptions
 {
-    int controls = 1; ///< Control members.
+    int controls = 1; ///< Members of the control group.
     int entries = 1; ///< Entries.
     int engines = 1; ///< Fake engines.
     int services = 1; ///< Fake services.
-    std::string site = "kortagatt"; ///< Overlay under deploy/.
+    std::string site = "kortagatt"; ///< Name of the configuration file in deploy/ that is applied over base.yaml.
     std::vector<std::string> engineFlags = {}; ///< Added to each engine's command line.
     std::vector<std::string> entryFlags = {}; ///< Added to each entry's command line.
     std::vector<std::string> controlFlags = {}; ///< Added to each control member's command line.
     std::vector<std::string> ctlFlags = {}; ///< Added to each command line of chestnuthook-ctl.
 };
 
-/** A fleet of real processes in a folder of its own. */
+/** A fleet of real processes on loopback addresses, with a temporary folder for their data. The constructor waits until
+ * all entries are ready and accept the key of the first customer.
+ * @throws std::runtime_error from the constructor if the fleet does not start. */
 class ProcessFleet
 {
 public:
@@ -87,80 +93,82 @@
     ProcessFleet(const ProcessFleet &) = delete;
     ProcessFleet &operator=(const ProcessFleet &) = delete;
 
-    /** Members past the first `options.controls` wait to be added; push their address to controlAddresses before. */
+    /** Starts control member @p index. A member past the first `options.controls` waits until it is added to the group;
+     * append its address to controlAddresses first. */
     void startControl(std::size_t index);
     void startEntry(std::size_t index);
     void startEngine(std::size_t index);
     void startService(std::size_t index);
 
-    /** Runs chestnuthook-ctl with the fleet's addresses and secret. */
+    /** Runs chestnuthook-ctl with the control addresses and the secret of the fleet. */
     CommandResult ctl(std::vector<std::string> arguments) const;
 
-    /** The declaration files of the site. */
+    /** Path of the declaration file that all sites share. */
     std::string basePath() const;
+    /** Path of the declaration file of the site. */
     std::string sitePath() const;
 
-    /** Issues a key for @p tenant; throws where that fails. */
+    /** Issues a key for customer @p tenant. @throws std::runtime_error */
     std::string issueKey(const std::string &tenant) const;
 
-    /** A request to entry @p index as the site's first tenant. */
+    /** Sends a request to entry @p index with the key of the first customer. */
     HttpAnswer ask(std::size_t index, const std::string &method, const std::string &path, const std::string &body = "",
         Headers headers = {}) const;
 
-    /** Creates a program at entry @p index; throws where that fails. */
+    /** Creates a program at entry @p index. @return its id. @throws std::runtime_error */
     std::string createProgram(std::size_t index, const std::string &body = "{}") const;
 
-    /** Requests in the ledger of the fake at @p address that contain @p text. */
+    /** How often @p text occurs in the ledger of the fake at @p address. */
     static int ledgerCount(const std::string &address, const std::string &text);
 
-    const FleetOptions options; ///< As asked for.
-    std::string folder; ///< Data, logs and secret.
-    std::string tenant; ///< First tenant of the site.
-    std::string model; ///< Model of the site.
-    std::string service; ///< Service of the site.
-    std::string key; ///< Key of the first tenant.
-    std::vector<std::string> controlAddresses; ///< ip:port by index.
-    std::vector<std::string> entryAddresses; ///< For callers.
-    std::vector<std::string> entryRpcAddresses; ///< For other entries.
-    std::vector<std::string> engineAddresses; ///< Fakes.
-    std::vector<std::string> serviceAddresses; ///< Fakes.
-    std::string platformAddress; ///< Fake.
-    std::map<std::string, std::unique_ptr<ChildProcess>> processes; ///< By name, such as control-0.
+    const FleetOptions options; ///< The options given to the constructor.
+    std::string folder; ///< Holds data, logs and the secret; removed at the end unless KEEP_FLEET_FOLDERS is set.
+    std::string tenant; ///< First customer of the site.
+    std::string model; ///< Model that the engines serve.
+    std::string service; ///< Name of the services.
+    std::string key; ///< Key of the first customer.
+    std::vector<std::string> controlAddresses; ///< Addresses of the control members (ip:port), by index.
+    std::vector<std::string> entryAddresses; ///< Client addresses of the entries, by index.
+    std::vector<std::string> entryRpcAddresses; ///< RPC addresses of the entries, by index; used by other entries.
+    std::vector<std::string> engineAddresses; ///< Addresses of the fake engines, by index.
+    std::vector<std::string> serviceAddresses; ///< Addresses of the fake services, by index.
+    std::string platformAddress; ///< Address of the fake platform.
+    std::map<std::string, std::unique_ptr<ChildProcess>> processes; ///< By name, for example `control-0`.
 
 private:
     void start(const std::string &name, const std::string &binary, std::vector<std::string> arguments);
-    /** Last lines of what the process @p name wrote; for messages. */
-    [[nodiscard]] std::string outputEnd(const std::string &name) const;
-    /** The processes that ended by themselves, with the last lines of each; for messages. */
-    [[nodiscard]] std::string endedProcesses();
+    /** The last 3000 bytes of the output of process @p name, for error messages. */
+    [[nodiscard]] std::string outputTail(const std::string &name) const;
+    /** The processes that have exited, each with the end of its output, for error messages. */
+    [[nodiscard]] std::string describeExitedProcesses();
 };
 
-/** Waits until @p condition holds, looking each 20 ms. @return false where it didn't within @p patience. */
-bool waitUntil(const std::function<bool()> &condition, std::chrono::milliseconds patience = std::chrono::seconds(15));
+/** Polls @p condition every 20 ms until it holds. @return false if it does not hold within @p timeout. */
+bool waitUntil(const std::function<bool()> &condition, std::chrono::milliseconds timeout = std::chrono::seconds(15));
 
-/** Runs a binary to its end. */
+/** Runs a binary as ChildProcess does and waits for it to exit. */
 CommandResult runCommand(
     const std::string &binary, std::vector<std::string> arguments, const std::vector<std::string> &environment = {});
 
-/** @return ip:port of @p port, or any where it is 0, at @p ip that nobody else is given while the test runs; only a
- * listener with SO_REUSEADDR gets it. */
+/** Reserves @p port, or any free port if it is 0, at @p ip until the test process ends. Other processes are not given
+ * the port in the meantime; only a listener that sets SO_REUSEADDR can bind it. @return ip:port. */
 std::string reserveAddress(const std::string &ip, unsigned short port = 0);
 
-/** @p count loopback ports as ip:port, held like one of reserveAddress(). */
+/** Reserves @p count ports at 127.0.0.1 as reserveAddress() does. @return ip:port of each. */
 std::vector<std::string> reserveLoopbackAddresses(int count);
 
-/** A folder that is removed with the object, unless it is to be kept. */
+/** A temporary folder that the destructor removes unless `isKept` is set. */
 struct TemporaryFolder
 {
     TemporaryFolder();
     ~TemporaryFolder();
     TemporaryFolder(const TemporaryFolder &) = delete;
     TemporaryFolder &operator=(const TemporaryFolder &) = delete;
-    std::string path; ///< Where it is.
-    bool isKept = false; ///< Stays after the object; set where a failure is to be looked into.
+    std::string path; ///< Absolute path.
+    bool isKept = false; ///< Keep the folder, to investigate a failure.
 };
 
-/** The whole of a file; empty where it can't be read. */
+/** The content of a file; empty if it can't be read. */
 std::string readFile(const std::string &path);
 
 } // namespace Chestnuthook::Testing
--- a/tests/unit/reserve_address_test.cpp
+++ b/tests/unit/reserve_address_test.cpp
@@ -1,4 +1,5 @@
-/** @file reserve_address_test.cpp  Ports that tests set aside for their programs stay theirs. */
+/** @file reserve_address_test.cpp  A reserved port is given to no other process; the program under test can listen on
+ * it. */
 #define BOOST_TEST_MODULE reserve_address
 #include <boost/test/unit_test.hpp>
 
@@ -11,11 +12,11 @@
 using namespace Chestnuthook::Testing;
 using Poco::Net::SocketAddress;
 
-BOOST_AUTO_TEST_CASE(a_held_port_is_kept_from_strangers_and_open_to_its_program)
+BOOST_AUTO_TEST_CASE(a_reserved_port_is_open_only_to_a_listener_with_reuse_address)
 {
     const std::string address = reserveLoopbackAddresses(1).front();
-    Poco::Net::ServerSocket stranger;
-    BOOST_CHECK_THROW(stranger.bind(SocketAddress(address), false, false), Poco::Net::NetException);
+    Poco::Net::ServerSocket otherSocket;
+    BOOST_CHECK_THROW(otherSocket.bind(SocketAddress(address), false, false), Poco::Net::NetException);
     BOOST_CHECK_THROW(Poco::Net::StreamSocket{SocketAddress(address)}, Poco::Net::ConnectionRefusedException);
     for (int start = 0; start < 2; ++start) {
         Poco::Net::ServerSocket program;
