--- a/src/fakes/fake_answer_func.cpp
+++ b/src/fakes/fake_answer_func.cpp
@@ -1,4 +1,4 @@
-/** @file fake_answer_func.cpp  The engine's answers. */
+/** @file fake_answer_func.cpp  Parses chat completion requests and generates completions. */
 #include "fakes/fake_answer_func.h"
 #include "fakes/fake_json_func.h"
 
@@ -17,9 +17,9 @@
 namespace
 {
 
-constexpr std::uint64_t ShortestAnswer = 8;
-constexpr std::uint64_t AnswerSpread = 24;
-constexpr std::string_view Blanks = " \t\r\n";
+constexpr std::uint64_t MinCompletionTokens = 8;
+constexpr std::uint64_t CompletionTokenSpread = 24;
+constexpr std::string_view Whitespace = " \t\r\n";
 
 constexpr std::array<std::string_view, 64> Words{"amber", "apple", "arrow", "ash", "barley", "beech", "birch", "bloom",
     "bough", "brook", "cedar", "chalk", "clay", "clover", "copper", "cork", "dawn", "dew", "elder", "elm", "ember",
@@ -28,16 +28,16 @@
     "pear", "pine", "plum", "pond", "quince", "rain", "reed", "ridge", "river", "rowan", "sage", "stone", "thorn",
     "vale", "willow", "yew"};
 
-std::uint64_t hashWith(std::string_view text, std::uint64_t seed)
+std::uint64_t hashWithSeed(std::string_view text, std::uint64_t seed)
 {
     return XXH3_64bits_withSeed(text.data(), text.size(), seed);
 }
 
-std::uint64_t hashChat(const FakeChat &chat, std::uint64_t salt)
+std::uint64_t hashChat(const FakeChatRequest &chat, std::uint64_t salt)
 {
-    std::uint64_t hash = hashWith(chat.model, salt);
+    std::uint64_t hash = hashWithSeed(chat.model, salt);
     for (const FakeMessage &message : chat.messages) {
-        hash = hashWith(message.content, hashWith(message.role, hash));
+        hash = hashWithSeed(message.content, hashWithSeed(message.role, hash));
     }
     return hash;
 }
@@ -48,8 +48,9 @@
     return (index == 0 ? "" : " ") + std::string(Words.at(wordHash % Words.size()));
 }
 
-/** Drops @p sent from the front of @p pieces: by its bytes where it is their beginning, else by its number of words. */
-std::vector<std::string> piecesAfter(std::vector<std::string> pieces, const std::string &sent)
+/** Removes the text already sent from the front of @p pieces. If @p sent is not a prefix of their text, one piece is
+ * removed for each of its words. */
+std::vector<std::string> removeSentText(std::vector<std::string> pieces, const std::string &sent)
 {
     std::string whole;
     for (const std::string &piece : pieces) {
@@ -91,14 +92,14 @@
     return messages;
 }
 
-Result<FakeChat> parseChecked(const Poco::JSON::Object &json)
+Result<FakeChatRequest> parseFields(const Poco::JSON::Object &json)
 {
     auto messages = parseMessages(json);
     if (!messages) {
         return tl::unexpected<Error>(messages.error());
     }
     const auto maxTokens = fakeField<std::int64_t>(json, "max_tokens", std::numeric_limits<std::int64_t>::max());
-    FakeChat chat;
+    FakeChatRequest chat;
     chat.model = fakeField<std::string>(json, "model", "");
     if (chat.model.empty() || maxTokens < 1) {
         return fail(ErrorKind::BadRequest, "model must be given and max_tokens at least 1");
@@ -117,27 +118,27 @@
 
 } // namespace
 
-Result<FakeChat> parseFakeChat(const Poco::JSON::Object &json)
+Result<FakeChatRequest> parseFakeChatRequest(const Poco::JSON::Object &json)
 {
     try {
-        return parseChecked(json);
+        return parseFields(json);
     } catch (const Poco::Exception &error) {
         return fail(ErrorKind::BadRequest, "a field has a wrong type: " + error.displayText());
     }
 }
 
-FakeAnswer fakeAnswer(const FakeChat &chat, std::uint64_t salt)
+FakeCompletion generateFakeCompletion(const FakeChatRequest &chat, std::uint64_t salt)
 {
     const std::uint64_t hash = hashChat(chat, salt);
-    const std::uint64_t length = hash % AnswerSpread + ShortestAnswer;
+    const std::uint64_t length = hash % CompletionTokenSpread + MinCompletionTokens;
     std::vector<std::string> pieces;
     for (std::uint64_t index = 0; index < std::min(chat.maxTokens, length); ++index) {
         pieces.push_back(pieceAt(hash, index));
     }
-    return {piecesAfter(std::move(pieces), chat.sent), chat.maxTokens < length};
+    return {removeSentText(std::move(pieces), chat.sent), chat.maxTokens < length};
 }
 
-std::vector<std::string> fakePromptWords(const FakeChat &chat)
+std::vector<std::string> fakePromptTokens(const FakeChatRequest &chat)
 {
     std::vector<std::string> words;
     for (const FakeMessage &message : chat.messages) {
@@ -151,10 +152,10 @@
 
 void addFakeWords(std::vector<std::string> &words, std::string_view text)
 {
-    for (std::size_t at = text.find_first_not_of(Blanks); at != std::string_view::npos;) {
-        const std::size_t end = std::min(text.find_first_of(Blanks, at), text.size());
+    for (std::size_t at = text.find_first_not_of(Whitespace); at != std::string_view::npos;) {
+        const std::size_t end = std::min(text.find_first_of(Whitespace, at), text.size());
         words.emplace_back(text.substr(at, end - at));
-        at = text.find_first_not_of(Blanks, end);
+        at = text.find_first_not_of(Whitespace, end);
     }
 }
 
--- a/src/fakes/fake_answer_func.h
+++ b/src/fakes/fake_answer_func.h
@@ -1,4 +1,4 @@
-/** @file fake_answer_func.h  The engine's answers: a pure function of the model and the messages. */
+/** @file fake_answer_func.h  Completions of the fake engine: a deterministic function of the model and the messages. */
 #pragma once
 
 #include <cstddef>
@@ -14,38 +14,38 @@
 namespace Chestnuthook
 {
 
-/** One message of a chat. */
+/** One message of a chat completion request. */
 struct FakeMessage
 {
     std::string role; ///< `system`, `user`, `assistant` or `tool`.
-    std::string content; ///< The text.
+    std::string content; ///< Text of the message.
 };
 
-/** A chat completion request as the engine reads it. */
-struct FakeChat
+/** A parsed chat completion request. */
+struct FakeChatRequest
 {
-    std::string model; ///< The model asked for.
-    std::vector<FakeMessage> messages; ///< Without a last message of the assistant.
-    std::string sent; ///< Assistant text that is to be continued; empty for a fresh answer.
-    std::uint64_t maxTokens = 0; ///< Bounds the whole answer, with what was sent before.
-    bool stream = false; ///< Answer as server-sent events.
-    std::int64_t priority = 0; ///< Lower runs first.
+    std::string model; ///< Name of the requested model.
+    std::vector<FakeMessage> messages; ///< All messages, without a trailing assistant message.
+    std::string sent; ///< Text already sent, which the completion continues; empty for a new completion.
+    std::uint64_t maxTokens = 0; ///< Limits the whole completion, including the tokens already sent.
+    bool stream = false; ///< Respond with server-sent events.
+    std::int64_t priority = 0; ///< Requests with a lower value run first.
 };
 
-/** What is left of an answer. */
-struct FakeAnswer
+/** The part of a completion that is still to be sent. */
+struct FakeCompletion
 {
-    std::vector<std::string> pieces; ///< One per token still to be sent; their concatenation continues what was sent.
-    bool cut = false; ///< maxTokens ended it (`length`), not the answer itself (`stop`).
+    std::vector<std::string> pieces; ///< The remaining text, one element per token.
+    bool cut = false; ///< Whether maxTokens ended the completion (finish reason `length` instead of `stop`).
 };
 
-/** Reads the body of a chat completion. */
-[[nodiscard]] Result<FakeChat> parseFakeChat(const Poco::JSON::Object &json);
-/** The answer to @p chat after what was sent of it; @p salt other than 0 gives another answer. */
-[[nodiscard]] FakeAnswer fakeAnswer(const FakeChat &chat, std::uint64_t salt = 0);
-/** The words, that is tokens, of the prompt with its role marks and the sent text. */
-[[nodiscard]] std::vector<std::string> fakePromptWords(const FakeChat &chat);
-/** Adds the words of @p text to @p words. */
+/** Parses the body of a chat completion request. Errors: BadRequest. */
+[[nodiscard]] Result<FakeChatRequest> parseFakeChatRequest(const Poco::JSON::Object &json);
+/** Generates the rest of the completion of @p chat after the text already sent. Another @p salt gives another text. */
+[[nodiscard]] FakeCompletion generateFakeCompletion(const FakeChatRequest &chat, std::uint64_t salt = 0);
+/** The tokens of the prompt: the messages with a marker for each role, and the text already sent. A token is a word. */
+[[nodiscard]] std::vector<std::string> fakePromptTokens(const FakeChatRequest &chat);
+/** Appends the words of @p text to @p words; words are separated by white space. */
 void addFakeWords(std::vector<std::string> &words, std::string_view text);
 
 } // namespace Chestnuthook
--- a/src/fakes/fake_cache_base.cpp
+++ b/src/fakes/fake_cache_base.cpp
@@ -1,4 +1,4 @@
-/** @file fake_cache_base.cpp  The engine's prefix cache. */
+/** @file fake_cache_base.cpp  Prefix cache of the fake engine. */
 #include "fakes/fake_cache_base.h"
 
 #include <algorithm>
@@ -9,14 +9,14 @@
 namespace Chestnuthook
 {
 
-FakeCache::FakeCache(std::size_t blockBound, std::size_t wordsPerBlock, std::function<bool()> gapTaker)
-    : maxBlocks(blockBound)
+FakeCache::FakeCache(std::size_t blockLimit, std::size_t wordsPerBlock, std::function<bool()> gapSource)
+    : maxBlocks(blockLimit)
     , blockWords(std::max<std::size_t>(wordsPerBlock, 1))
-    , takeGap(std::move(gapTaker))
+    , takeGap(std::move(gapSource))
 {
 }
 
-std::vector<std::uint64_t> FakeCache::chainOf(const std::string &model, const std::vector<std::string> &words) const
+std::vector<std::uint64_t> FakeCache::blockHashes(const std::string &model, const std::vector<std::string> &words) const
 {
     std::vector<std::uint64_t> chain;
     std::uint64_t hash = XXH3_64bits(model.data(), model.size());
@@ -31,7 +31,7 @@
 
 std::size_t FakeCache::cachedWords(const std::string &model, const std::vector<std::string> &words) const
 {
-    const auto chain = this->chainOf(model, words);
+    const auto chain = this->blockHashes(model, words);
     const auto missing = std::find_if(chain.begin(), chain.end(), [this](std::uint64_t hash) {
         return !this->blocks.contains(hash);
     });
@@ -40,47 +40,47 @@
 
 void FakeCache::store(const std::string &model, const std::vector<std::string> &words, const std::string &program)
 {
-    auto chain = this->chainOf(model, words);
+    auto chain = this->blockHashes(model, words);
     if (chain.size() > this->maxBlocks) {
         chain.resize(this->maxBlocks);
     }
     for (const std::uint64_t hash : chain) {
         this->touch(hash, program);
     }
-    // The beginning of the chain goes out last, since the rest is of no use without it.
+    // Evict the end of the prompt first: a block is of no use without all blocks before it.
     for (auto hash = chain.rbegin(); hash != chain.rend(); ++hash) {
-        this->order.splice(this->order.end(), this->order, this->blocks.at(*hash).place);
+        this->lruOrder.splice(this->lruOrder.end(), this->lruOrder, this->blocks.at(*hash).lruPosition);
     }
 }
 
 void FakeCache::touch(std::uint64_t hash, const std::string &program)
 {
     if (const auto found = this->blocks.find(hash); found != this->blocks.end()) {
-        this->order.splice(this->order.end(), this->order, found->second.place);
-        this->use(found->second, program);
+        this->lruOrder.splice(this->lruOrder.end(), this->lruOrder, found->second.lruPosition);
+        this->addUser(found->second, program);
         return;
     }
     if (this->blocks.size() >= this->maxBlocks) {
-        this->evict(this->order.front());
+        this->evict(this->lruOrder.front());
     }
     Block &block = this->blocks[hash];
-    block.place = this->order.insert(this->order.end(), hash);
-    this->use(block, program);
-    this->note(true, hash, program);
+    block.lruPosition = this->lruOrder.insert(this->lruOrder.end(), hash);
+    this->addUser(block, program);
+    this->recordEvent(true, hash, program);
 }
 
-void FakeCache::use(Block &block, const std::string &program)
+void FakeCache::addUser(Block &block, const std::string &program)
 {
     if (block.users.insert(program).second) {
-        this->held[program] += 1;
+        this->blockCounts[program] += 1;
     }
 }
 
-void FakeCache::leave(const std::string &program)
+void FakeCache::removeUser(const std::string &program)
 {
-    const auto found = this->held.find(program);
-    if (found != this->held.end() && --found->second == 0) {
-        this->held.erase(found);
+    const auto found = this->blockCounts.find(program);
+    if (found != this->blockCounts.end() && --found->second == 0) {
+        this->blockCounts.erase(found);
     }
 }
 
@@ -88,12 +88,12 @@
 {
     const auto found = this->blocks.find(hash);
     const std::set<std::string> users = std::move(found->second.users);
-    this->order.erase(found->second.place);
+    this->lruOrder.erase(found->second.lruPosition);
     this->blocks.erase(found);
     for (const std::string &user : users) {
-        this->leave(user);
+        this->removeUser(user);
     }
-    this->note(false, hash, users.empty() ? std::string() : *users.begin());
+    this->recordEvent(false, hash, users.empty() ? std::string() : *users.begin());
 }
 
 std::size_t FakeCache::release(const std::string &program)
@@ -107,7 +107,7 @@
             own.push_back(hash);
         } else {
             block.users.erase(program);
-            this->leave(program);
+            this->removeUser(program);
         }
     }
     std::sort(own.begin(), own.end());
@@ -117,14 +117,14 @@
     return own.size();
 }
 
-void FakeCache::note(bool stored, std::uint64_t hash, const std::string &program)
+void FakeCache::recordEvent(bool stored, std::uint64_t hash, const std::string &program)
 {
     const std::uint64_t sequence = this->next++;
     if (this->takeGap && this->takeGap()) {
         return;
     }
     this->events.push_back({sequence, stored, hash, program});
-    if (this->events.size() > EventBound) {
+    if (this->events.size() > MaxEvents) {
         this->events.pop_front();
     }
 }
@@ -152,7 +152,7 @@
 std::vector<std::string> FakeCache::programs() const
 {
     std::vector<std::string> names;
-    for (const auto &[program, count] : this->held) {
+    for (const auto &[program, count] : this->blockCounts) {
         if (!program.empty()) {
             names.push_back(program);
         }
--- a/src/fakes/fake_engine_base.cpp
+++ b/src/fakes/fake_engine_base.cpp
@@ -1,4 +1,4 @@
-/** @file fake_engine_base.cpp  The stand-in for a model engine. */
+/** @file fake_engine_base.cpp  Fake model engine. */
 #include "fakes/fake_engine_base.h"
 #include "fakes/fake_json_func.h"
 
@@ -22,10 +22,10 @@
 
 using Poco::Net::HTTPResponse;
 
-constexpr std::size_t EventsPerAnswer = 10000;
+constexpr std::size_t MaxEventsPerResponse = 10000;
 constexpr std::int64_t SamplesPerLag = 4;
-constexpr std::int64_t ShortestSampleMs = 5;
-constexpr std::chrono::milliseconds QueuePoll{20};
+constexpr std::int64_t MinSampleIntervalMs = 5;
+constexpr std::chrono::milliseconds QueuePollInterval{20};
 constexpr std::uint64_t CrossedSalt = 1;
 
 std::string blockHex(std::uint64_t block)
@@ -55,12 +55,12 @@
     return usage;
 }
 
-std::string answerId(const FakeExchange &exchange)
+std::string completionId(const FakeExchange &exchange)
 {
-    return "chatcmpl-" + (exchange.answerAttempt.empty() ? fakeDigest(exchange.body) : exchange.answerAttempt);
+    return "chatcmpl-" + (exchange.responseAttempt.empty() ? fakeDigest(exchange.body) : exchange.responseAttempt);
 }
 
-/** The common shape of whole answers (@p part `message`) and of chunks (@p part `delta`). */
+/** The JSON of a complete response (@p part `message`) or of a chunk of a stream (@p part `delta`). */
 Poco::JSON::Object::Ptr completionJson(const FakeExchange &exchange, const std::string &model, const std::string &part,
     const Poco::JSON::Object::Ptr &content, const Poco::Dynamic::Var &finish)
 {
@@ -71,7 +71,7 @@
     Poco::JSON::Array::Ptr choices = new Poco::JSON::Array;
     choices->add(choice);
     Poco::JSON::Object::Ptr json = new Poco::JSON::Object;
-    json->set("id", answerId(exchange));
+    json->set("id", completionId(exchange));
     json->set("object", part == "delta" ? "chat.completion.chunk" : "chat.completion");
     json->set("created", fakeNowMs() / 1000);
     json->set("model", model);
@@ -87,13 +87,13 @@
     return static_cast<bool>(out);
 }
 
-std::string finishReason(const FakeAnswer &answer)
+std::string finishReason(const FakeCompletion &answer)
 {
     return answer.cut ? "length" : "stop";
 }
 
-/** Whether the fault of @p exchange strikes before token @p index of @p count. */
-bool strikesAt(const FakeExchange &exchange, FakeFaultKind kind, std::size_t index, std::size_t count)
+/** Whether the fault of @p exchange takes effect before token @p index of @p count; by default that is halfway. */
+bool faultAppliesAt(const FakeExchange &exchange, FakeFaultKind kind, std::size_t index, std::size_t count)
 {
     if (!exchange.fault || exchange.fault->kind != kind) {
         return false;
@@ -108,15 +108,15 @@
     exchange.response.setContentType("text/event-stream");
     exchange.response.set("Cache-Control", "no-cache");
     exchange.response.setChunkedTransferEncoding(true);
-    if (!exchange.answerAttempt.empty()) {
-        exchange.response.set("X-Attempt-Id", exchange.answerAttempt);
+    if (!exchange.responseAttempt.empty()) {
+        exchange.response.set("X-Attempt-Id", exchange.responseAttempt);
     }
 }
 
 } // namespace
 
-FakeEngine::FakeEngine(FakeCommon &commonParts, FakeEngineOptions settings)
-    : common(commonParts)
+FakeEngine::FakeEngine(FakeServerContext &serverContext, FakeEngineOptions settings)
+    : common(serverContext)
     , options(std::move(settings))
     , models(this->options.models.begin(), this->options.models.end())
     , cache(this->options.cacheBlocks, this->options.blockTokens,
@@ -143,7 +143,7 @@
 {
     const std::string call = exchange.request.getMethod() + " " + exchange.path;
     if (call == "POST /v1/chat/completions") {
-        return this->chat(exchange);
+        return this->handleChat(exchange);
     }
     if (call == "GET /v1/cache/events") {
         return this->sendEvents(exchange);
@@ -155,7 +155,7 @@
         return this->releaseProgram(exchange);
     }
     if (call == "POST /v1/orders") {
-        return this->order(exchange);
+        return this->handleOrder(exchange);
     }
     return sendError(exchange, HTTPResponse::HTTP_NOT_FOUND, "not_found", "no such route: " + call);
 }
@@ -166,10 +166,10 @@
     return this->models.contains(model);
 }
 
-FakeOutcome FakeEngine::chat(FakeExchange &exchange)
+FakeOutcome FakeEngine::handleChat(FakeExchange &exchange)
 {
     auto chat = parseBody(exchange).and_then([](const auto &json) {
-        return parseFakeChat(*json);
+        return parseFakeChatRequest(*json);
     });
     if (!chat) {
         return sendError(exchange, HTTPResponse::HTTP_BAD_REQUEST, "bad_request", chat.error().what);
@@ -177,9 +177,9 @@
     if (!this->hasModel(chat->model)) {
         return sendError(exchange, HTTPResponse::HTTP_NOT_FOUND, "unknown_model", "not loaded: " + chat->model);
     }
-    Work work;
-    work.answer = fakeAnswer(*chat, hasFault(exchange, FakeFaultKind::Crossed) ? CrossedSalt : 0);
-    work.words = fakePromptWords(*chat);
+    ChatWork work;
+    work.answer = generateFakeCompletion(*chat, hasFault(exchange, FakeFaultKind::Crossed) ? CrossedSalt : 0);
+    work.words = fakePromptTokens(*chat);
     work.chat = std::move(*chat);
     if (!this->enterBatch(exchange, work.chat.priority)) {
         return FakeOutcome::Cancelled;
@@ -189,7 +189,7 @@
     return outcome;
 }
 
-FakeOutcome FakeEngine::runChat(FakeExchange &exchange, Work &work)
+FakeOutcome FakeEngine::runChat(FakeExchange &exchange, ChatWork &work)
 {
     const bool prefilled = this->prefill(exchange, work);
     exchange.note = "prompt=" + std::to_string(work.words.size()) + " cached=" + std::to_string(work.cached);
@@ -197,9 +197,9 @@
         return FakeOutcome::Cancelled;
     }
     const FakeOutcome outcome =
-        work.chat.stream ? this->answerStream(exchange, work) : this->answerWhole(exchange, work);
+        work.chat.stream ? this->streamCompletion(exchange, work) : this->sendCompletion(exchange, work);
     if (outcome == FakeOutcome::Ok) {
-        this->keepAnswer(exchange, work);
+        this->cacheCompletion(exchange, work);
     }
     return outcome;
 }
@@ -207,17 +207,17 @@
 bool FakeEngine::enterBatch(const FakeExchange &exchange, std::int64_t priority)
 {
     std::unique_lock lock(this->mutex);
-    const Ticket ticket{priority, this->arrivals++};
-    this->queue.insert(ticket);
-    while (this->running >= this->options.batch || *this->queue.begin() != ticket) {
-        this->changed.wait_for(lock, QueuePoll);
-        if (clientGone(exchange)) {
-            this->queue.erase(ticket);
+    const QueueEntry entry{priority, this->arrivals++};
+    this->queue.insert(entry);
+    while (this->running >= this->options.batch || *this->queue.begin() != entry) {
+        this->changed.wait_for(lock, QueuePollInterval);
+        if (clientDisconnected(exchange)) {
+            this->queue.erase(entry);
             this->changed.notify_all();
             return false;
         }
     }
-    this->queue.erase(ticket);
+    this->queue.erase(entry);
     this->running += 1;
     this->changed.notify_all();
     return true;
@@ -230,14 +230,14 @@
     this->changed.notify_all();
 }
 
-bool FakeEngine::prefill(const FakeExchange &exchange, Work &work)
+bool FakeEngine::prefill(const FakeExchange &exchange, ChatWork &work)
 {
     {
         const std::scoped_lock lock(this->mutex);
         work.cached = this->cache.cachedWords(work.chat.model, work.words);
     }
     const auto uncached = static_cast<std::int64_t>(work.words.size() - work.cached);
-    if (!waitWhileHeld(exchange, uncached * this->options.prefillUsPerToken)) {
+    if (!waitUnlessDisconnected(exchange, uncached * this->options.prefillUsPerToken)) {
         return false;
     }
     const std::scoped_lock lock(this->mutex);
@@ -245,14 +245,14 @@
     return true;
 }
 
-/** Caches the prompt with the answer, which the next call of the program begins with. */
-void FakeEngine::keepAnswer(const FakeExchange &exchange, const Work &work)
+/** Caches the prompt and the completion, since they are the prefix of the next call of the program. */
+void FakeEngine::cacheCompletion(const FakeExchange &exchange, const ChatWork &work)
 {
-    FakeChat whole = work.chat;
+    FakeChatRequest whole = work.chat;
     for (const std::string &piece : work.answer.pieces) {
         whole.sent += piece;
     }
-    const auto words = fakePromptWords(whole);
+    const auto words = fakePromptTokens(whole);
     const std::scoped_lock lock(this->mutex);
     this->cache.store(whole.model, words, exchange.program);
 }
@@ -260,15 +260,15 @@
 bool FakeEngine::decodeStep(const FakeExchange &exchange) const
 {
     const std::int64_t stepMs = this->options.tokenMs + faultDelayMs(exchange, FakeFaultKind::Slow);
-    return waitWhileHeld(exchange, stepMs * 1000);
+    return waitUnlessDisconnected(exchange, stepMs * 1000);
 }
 
-FakeOutcome FakeEngine::answerWhole(FakeExchange &exchange, const Work &work)
+FakeOutcome FakeEngine::sendCompletion(FakeExchange &exchange, const ChatWork &work)
 {
     const auto &pieces = work.answer.pieces;
     std::string text;
     for (std::size_t index = 0; index < pieces.size(); ++index) {
-        if (strikesAt(exchange, FakeFaultKind::Crash, index, pieces.size())) {
+        if (faultAppliesAt(exchange, FakeFaultKind::Crash, index, pieces.size())) {
             _exit(1);
         }
         if (!this->decodeStep(exchange)) {
@@ -284,16 +284,16 @@
     return sendJson(exchange, HTTPResponse::HTTP_OK, json);
 }
 
-FakeOutcome FakeEngine::answerStream(FakeExchange &exchange, const Work &work)
+FakeOutcome FakeEngine::streamCompletion(FakeExchange &exchange, const ChatWork &work)
 {
-    if (!waitWhileHeld(exchange, faultDelayMs(exchange, FakeFaultKind::Late) * 1000)) {
+    if (!waitUnlessDisconnected(exchange, faultDelayMs(exchange, FakeFaultKind::Late) * 1000)) {
         return FakeOutcome::Cancelled;
     }
     startStream(exchange);
     std::ostream &out = exchange.response.send();
-    const FakeOutcome sent = this->sendPieces(exchange, work, out);
+    const FakeOutcome sent = this->streamPieces(exchange, work, out);
     if (sent != FakeOutcome::Ok) {
-        closeMidway(exchange);
+        abortConnection(exchange);
         return sent;
     }
     const Poco::JSON::Object::Ptr nothing = new Poco::JSON::Object;
@@ -307,14 +307,14 @@
     return hasFault(exchange, FakeFaultKind::Crossed) ? FakeOutcome::Fault : FakeOutcome::Ok;
 }
 
-FakeOutcome FakeEngine::sendPieces(FakeExchange &exchange, const Work &work, std::ostream &out)
+FakeOutcome FakeEngine::streamPieces(FakeExchange &exchange, const ChatWork &work, std::ostream &out)
 {
     const auto &pieces = work.answer.pieces;
     for (std::size_t index = 0; index < pieces.size(); ++index) {
-        if (strikesAt(exchange, FakeFaultKind::Crash, index, pieces.size())) {
+        if (faultAppliesAt(exchange, FakeFaultKind::Crash, index, pieces.size())) {
             _exit(1);
         }
-        if (strikesAt(exchange, FakeFaultKind::Truncate, index, pieces.size())) {
+        if (faultAppliesAt(exchange, FakeFaultKind::Truncate, index, pieces.size())) {
             return FakeOutcome::Fault;
         }
         Poco::JSON::Object::Ptr delta = new Poco::JSON::Object;
@@ -335,10 +335,10 @@
     std::uint64_t next = 0;
     {
         const std::scoped_lock lock(this->mutex);
-        events = this->cache.eventsSince(since, EventsPerAnswer);
+        events = this->cache.eventsSince(since, MaxEventsPerResponse);
         next = this->cache.nextSequence();
     }
-    if (events.size() == EventsPerAnswer) {
+    if (events.size() == MaxEventsPerResponse) {
         next = events.back().sequence + 1;
     }
     Poco::JSON::Array::Ptr list = new Poco::JSON::Array;
@@ -356,8 +356,8 @@
     return {fakeNowMs(), this->running, this->queue.size(), this->cache.size(), this->cache.programs()};
 }
 
-/** The newest sample that is at least as old as the lag. */
-FakeEngine::Load FakeEngine::laggedLoad()
+/** The newest load sample that is at least reportLagMs old, or the oldest one if none is. */
+FakeEngine::Load FakeEngine::delayedLoad()
 {
     const std::scoped_lock lock(this->mutex);
     if (this->options.reportLagMs == 0 || this->samples.empty()) {
@@ -373,7 +373,7 @@
 void FakeEngine::sampleUntilStopped()
 {
     const std::int64_t lagMs = this->options.reportLagMs;
-    const std::chrono::milliseconds period(std::max(lagMs / SamplesPerLag, ShortestSampleMs));
+    const std::chrono::milliseconds period(std::max(lagMs / SamplesPerLag, MinSampleIntervalMs));
     std::unique_lock lock(this->mutex);
     while (lagMs > 0 && !this->stopping) {
         const std::int64_t latestMs = fakeNowMs() - lagMs;
@@ -390,7 +390,7 @@
 
 FakeOutcome FakeEngine::sendLoad(FakeExchange &exchange)
 {
-    const Load load = this->laggedLoad();
+    const Load load = this->delayedLoad();
     Poco::JSON::Array::Ptr programs = new Poco::JSON::Array;
     for (const std::string &program : load.programs) {
         programs->add(program);
@@ -422,7 +422,7 @@
     return sendJson(exchange, HTTPResponse::HTTP_OK, answer);
 }
 
-bool FakeEngine::takeOrder(const std::string &kind, const std::string &model, std::uint64_t fence)
+bool FakeEngine::applyOrder(const std::string &kind, const std::string &model, std::uint64_t fence)
 {
     const std::scoped_lock lock(this->mutex);
     if (this->options.checkFencing && fence < this->highestFence) {
@@ -435,7 +435,7 @@
     return true;
 }
 
-FakeOutcome FakeEngine::order(FakeExchange &exchange)
+FakeOutcome FakeEngine::handleOrder(FakeExchange &exchange)
 {
     const auto json = parseBody(exchange);
     if (!json) {
@@ -449,7 +449,7 @@
             "order (load_model or set_role), model and a fence of at least 0 are needed");
     }
     exchange.note = "order=" + kind + " model=" + model + " fence=" + std::to_string(fence);
-    if (!this->takeOrder(kind, model, static_cast<std::uint64_t>(fence))) {
+    if (!this->applyOrder(kind, model, static_cast<std::uint64_t>(fence))) {
         return sendError(exchange, HTTPResponse::HTTP_CONFLICT, "stale_fence", "a higher fence was seen");
     }
     Poco::JSON::Object::Ptr answer = new Poco::JSON::Object;
--- a/src/fakes/fake_engine_base.h
+++ b/src/fakes/fake_engine_base.h
@@ -1,4 +1,4 @@
-/** @file fake_engine_base.h  The stand-in for a model engine: batch, prefix cache, streams, load reports, orders. */
+/** @file fake_engine_base.h  Fake model engine with batching, a prefix cache, streaming, load reports and orders. */
 #pragma once
 
 #include <condition_variable>
@@ -19,86 +19,86 @@
 namespace Chestnuthook
 {
 
-/** Settings of the engine. */
+/** Settings of a FakeEngine. */
 struct FakeEngineOptions
 {
-    std::vector<std::string> models; ///< Loaded at the start.
-    std::int64_t tokenMs = 2; ///< Milliseconds for each token of an answer.
-    std::int64_t prefillUsPerToken = 20; ///< Microseconds for each token of the prompt that isn't cached.
-    std::size_t batch = 32; ///< Requests that run at the same time; the others queue.
-    std::size_t cacheBlocks = 4096; ///< Size of the prefix cache.
-    std::size_t blockTokens = 16; ///< Tokens of one cache block.
-    std::int64_t reportLagMs = 500; ///< Load reports are this many milliseconds old.
-    bool checkFencing = true; ///< Refuse orders with a lower fence than the highest seen.
+    std::vector<std::string> models; ///< Models that are loaded at the start.
+    std::int64_t tokenMs = 2; ///< Milliseconds to generate a token.
+    std::int64_t prefillUsPerToken = 20; ///< Microseconds for each prompt token that is not cached.
+    std::size_t batch = 32; ///< Number of requests that run at the same time; others are queued.
+    std::size_t cacheBlocks = 4096; ///< Number of blocks in the prefix cache.
+    std::size_t blockTokens = 16; ///< Tokens per cache block.
+    std::int64_t reportLagMs = 500; ///< Age of load reports in milliseconds.
+    bool checkFencing = true; ///< Reject orders with a fencing token below the highest seen.
 };
 
-/** The engine; thread-safe. */
+/** A fake engine; thread-safe. */
 class FakeEngine
 {
 public:
-    FakeEngine(FakeCommon &commonParts, FakeEngineOptions settings);
+    FakeEngine(FakeServerContext &serverContext, FakeEngineOptions settings);
     FakeEngine(const FakeEngine &) = delete;
     FakeEngine(FakeEngine &&) = delete;
     FakeEngine &operator=(const FakeEngine &) = delete;
     FakeEngine &operator=(FakeEngine &&) = delete;
-    /** Ends the sampling thread; no request may run any more. */
+    /** Stops the sampling thread. All requests must have ended. */
     ~FakeEngine();
-    /** Answers one request. */
+    /** Handles one request. */
     FakeOutcome serve(FakeExchange &exchange);
 
 private:
     struct Load
     {
-        std::int64_t atMs = 0; ///< Unix time in milliseconds.
+        std::int64_t atMs = 0; ///< Time of the sample; Unix time in milliseconds.
         std::size_t running = 0; ///< Requests in the batch.
-        std::size_t queued = 0; ///< Requests before it.
-        std::size_t cachedBlocks = 0; ///< Blocks held.
-        std::vector<std::string> programs; ///< Programs with a block.
+        std::size_t queued = 0; ///< Requests that wait for the batch.
+        std::size_t cachedBlocks = 0; ///< Blocks in the prefix cache.
+        std::vector<std::string> programs; ///< Programs that use at least one block.
     };
 
-    struct Work
+    struct ChatWork
     {
-        FakeChat chat; ///< The request.
-        FakeAnswer answer; ///< What is to be sent.
-        std::vector<std::string> words; ///< The prompt's tokens.
-        std::size_t cached = 0; ///< How many of them were cached.
+        FakeChatRequest chat; ///< Parsed request.
+        FakeCompletion answer; ///< Completion to send.
+        std::vector<std::string> words; ///< Tokens of the prompt.
+        std::size_t cached = 0; ///< Number of prompt tokens that were cached.
     };
 
-    using Ticket = std::pair<std::int64_t, std::uint64_t>; ///< Priority, then arrival.
+    using QueueEntry = std::pair<std::int64_t, std::uint64_t>; ///< Priority, then arrival number.
 
-    FakeOutcome chat(FakeExchange &exchange);
-    FakeOutcome runChat(FakeExchange &exchange, Work &work);
+    FakeOutcome handleChat(FakeExchange &exchange);
+    FakeOutcome runChat(FakeExchange &exchange, ChatWork &work);
     bool enterBatch(const FakeExchange &exchange, std::int64_t priority);
     void leaveBatch();
-    bool prefill(const FakeExchange &exchange, Work &work);
-    void keepAnswer(const FakeExchange &exchange, const Work &work);
+    bool prefill(const FakeExchange &exchange, ChatWork &work);
+    void cacheCompletion(const FakeExchange &exchange, const ChatWork &work);
     [[nodiscard]] bool decodeStep(const FakeExchange &exchange) const;
-    FakeOutcome answerWhole(FakeExchange &exchange, const Work &work);
-    FakeOutcome answerStream(FakeExchange &exchange, const Work &work);
-    FakeOutcome sendPieces(FakeExchange &exchange, const Work &work, std::ostream &out);
+    FakeOutcome sendCompletion(FakeExchange &exchange, const ChatWork &work);
+    FakeOutcome streamCompletion(FakeExchange &exchange, const ChatWork &work);
+    FakeOutcome streamPieces(FakeExchange &exchange, const ChatWork &work, std::ostream &out);
     FakeOutcome sendEvents(FakeExchange &exchange);
     FakeOutcome sendLoad(FakeExchange &exchange);
     FakeOutcome releaseProgram(FakeExchange &exchange);
-    FakeOutcome order(FakeExchange &exchange);
-    bool takeOrder(const std::string &kind, const std::string &model, std::uint64_t fence);
+    FakeOutcome handleOrder(FakeExchange &exchange);
+    bool applyOrder(const std::string &kind, const std::string &model, std::uint64_t fence);
     bool hasModel(const std::string &model);
     Load sample();
-    Load laggedLoad();
+    Load delayedLoad();
     void sampleUntilStopped();
 
-    FakeCommon &common; ///< Outlives the engine.
-    FakeEngineOptions options; ///< Never changes.
-    std::mutex mutex; ///< Guards all below but the thread.
-    std::condition_variable changed; ///< The batch or `stopping` changed.
+    FakeServerContext &common; ///< Must outlive the engine.
+    FakeEngineOptions options; ///< Constant.
+    std::mutex mutex; ///< Guards all members below except the thread.
+    std::condition_variable changed; ///< Signalled when the batch, the queue or `stopping` changes.
     std::set<std::string> models; ///< Loaded models.
-    std::uint64_t highestFence = 0; ///< Of all orders seen.
-    FakeCache cache; ///< The prefix cache.
-    std::size_t running = 0; ///< At most options.batch.
-    std::set<Ticket> queue; ///< Who waits for the batch.
-    std::uint64_t arrivals = 0; ///< Requests that came to the queue.
-    std::deque<Load> samples; ///< Oldest first.
-    bool stopping = false; ///< The sampling thread is to end.
-    std::thread sampler; ///< Takes samples for lagged reports.
+    std::uint64_t highestFence = 0; ///< Highest fencing token of all orders.
+    FakeCache cache; ///< Prefix cache of all models.
+    std::size_t running = 0; ///< Requests in the batch; at most options.batch.
+    std::set<QueueEntry> queue; ///< Requests that wait for the batch.
+    std::uint64_t arrivals = 0; ///< Number of requests queued so far.
+    std::deque<Load> samples; ///< Load samples, the oldest first.
+    bool stopping = false; ///< Tells the sampling thread to stop.
+    std::thread sampler; ///< Takes the load samples for delayed reports.
 };
 
 } // namespace Chestnuthook
--- a/src/fakes/fake_fault_base.cpp
+++ b/src/fakes/fake_fault_base.cpp
@@ -1,4 +1,4 @@
-/** @file fake_fault_base.cpp  Faults that a test orders from a stand-in. */
+/** @file fake_fault_base.cpp  Fault injection for the fake servers. */
 #include "fakes/fake_fault_base.h"
 
 #include <algorithm>
@@ -14,13 +14,13 @@
 constexpr std::array<std::string_view, 8> KindNames{
     "crash", "hang", "slow", "truncate", "refuse", "late", "crossed", "gap"};
 
-bool strikes(const FakeFaultSpec &spec, std::string_view path, bool work, std::string_view body)
+bool matchesRequest(const FakeFaultSpec &spec, std::string_view path, bool work, std::string_view body)
 {
     if (spec.kind == FakeFaultKind::Gap) {
         return false;
     }
-    const bool placed = spec.path.empty() ? work : path.starts_with(spec.path);
-    return placed && body.find(spec.match) != std::string_view::npos;
+    const bool pathMatches = spec.path.empty() ? work : path.starts_with(spec.path);
+    return pathMatches && body.find(spec.match) != std::string_view::npos;
 }
 
 } // namespace
@@ -34,7 +34,7 @@
     return static_cast<FakeFaultKind>(found - KindNames.begin());
 }
 
-void FakeFault::add(FakeFaultSpec spec)
+void FakeFaultQueue::add(FakeFaultSpec spec)
 {
     if (spec.count == 0) {
         return;
@@ -43,29 +43,29 @@
     this->specs.push_back(std::move(spec));
 }
 
-FakeFaultSpec FakeFault::strike(std::vector<FakeFaultSpec>::iterator spec)
+FakeFaultSpec FakeFaultQueue::takeOne(std::vector<FakeFaultSpec>::iterator spec)
 {
     spec->count -= 1;
-    FakeFaultSpec struck = *spec;
+    FakeFaultSpec taken = *spec;
     if (spec->count == 0) {
         this->specs.erase(spec);
     }
-    return struck;
+    return taken;
 }
 
-std::optional<FakeFaultSpec> FakeFault::take(std::string_view path, bool work, std::string_view body)
+std::optional<FakeFaultSpec> FakeFaultQueue::take(std::string_view path, bool work, std::string_view body)
 {
     const std::scoped_lock lock(this->mutex);
     const auto found = std::find_if(this->specs.begin(), this->specs.end(), [&](const FakeFaultSpec &spec) {
-        return strikes(spec, path, work, body);
+        return matchesRequest(spec, path, work, body);
     });
     if (found == this->specs.end()) {
         return std::nullopt;
     }
-    return this->strike(found);
+    return this->takeOne(found);
 }
 
-bool FakeFault::takeGap()
+bool FakeFaultQueue::takeGap()
 {
     const std::scoped_lock lock(this->mutex);
     const auto found = std::find_if(this->specs.begin(), this->specs.end(), [](const FakeFaultSpec &spec) {
@@ -74,11 +74,11 @@
     if (found == this->specs.end()) {
         return false;
     }
-    this->strike(found);
+    this->takeOne(found);
     return true;
 }
 
-void FakeFault::clear()
+void FakeFaultQueue::clear()
 {
     const std::scoped_lock lock(this->mutex);
     this->specs.clear();
--- a/src/fakes/fake_fault_base.h
+++ b/src/fakes/fake_fault_base.h
@@ -1,4 +1,4 @@
-/** @file fake_fault_base.h  Faults that a test orders from a stand-in. */
+/** @file fake_fault_base.h  Fault injection for the fake servers. */
 #pragma once
 
 #include <cstdint>
@@ -11,41 +11,42 @@
 namespace Chestnuthook
 {
 
-/** What goes wrong. */
+/** Kinds of faults. */
 enum class FakeFaultKind : std::uint8_t { Crash, Hang, Slow, Truncate, Refuse, Late, Crossed, Gap };
 
-/** The kind called @p name, if there is one. */
+/** The kind named @p name, if there is one. */
 [[nodiscard]] std::optional<FakeFaultKind> fakeFaultKind(std::string_view name);
 
-/** One order for faults. */
+/** A fault to inject into matching requests. */
 struct FakeFaultSpec
 {
-    FakeFaultKind kind = FakeFaultKind::Refuse; ///< What goes wrong.
-    std::string match; ///< Text that the body must hold; empty for any.
-    std::string path; ///< Prefix of the path; empty for the stand-in's work paths.
-    std::uint64_t count = 1; ///< How many requests it still strikes.
-    std::int64_t delayMs = 0; ///< Milliseconds; its meaning depends on the kind.
-    std::uint64_t afterTokens = 0; ///< Crash and truncate: tokens streamed before it strikes; 0 for the kind's own.
+    FakeFaultKind kind = FakeFaultKind::Refuse; ///< Kind of fault.
+    std::string match; ///< Text that the request body must contain; empty matches every body.
+    std::string path; ///< Prefix of the request path; empty matches the work paths of the server.
+    std::uint64_t count = 1; ///< Number of requests that it still affects.
+    std::int64_t delayMs = 0; ///< Delay in milliseconds; what is delayed depends on the kind.
+    std::uint64_t afterTokens = 0; ///< Crash and truncate: tokens sent before the fault; 0 for the default of the kind.
 };
 
-/** The faults that are still to strike; thread-safe. */
-class FakeFault
+/** The faults that are still to be injected; thread-safe. */
+class FakeFaultQueue
 {
 public:
-    /** Queues @p spec behind the others. */
+    /** Appends @p spec to the queue; ignored if its count is 0. */
     void add(FakeFaultSpec spec);
-    /** Takes one strike for a request; @p work tells whether @p path is one of the stand-in's work paths. */
+    /** Takes the first fault that matches a request and decrements its count.
+     * @param work whether @p path is a work path of the server */
     std::optional<FakeFaultSpec> take(std::string_view path, bool work, std::string_view body);
-    /** Takes one strike of a gap in the cache events. */
+    /** Takes one gap in the cache events. @return false if none is queued. */
     bool takeGap();
-    /** Withdraws all faults. */
+    /** Removes all faults. */
     void clear();
 
 private:
-    FakeFaultSpec strike(std::vector<FakeFaultSpec>::iterator spec);
+    FakeFaultSpec takeOne(std::vector<FakeFaultSpec>::iterator spec);
 
-    std::mutex mutex; ///< Guards all below.
-    std::vector<FakeFaultSpec> specs; ///< In order of arrival; each has a count of at least 1.
+    std::mutex mutex; ///< Guards the queue.
+    std::vector<FakeFaultSpec> specs; ///< Queued faults, the oldest first; each has a count of at least 1.
 };
 
 } // namespace Chestnuthook
--- a/src/fakes/fake_json_func.h
+++ b/src/fakes/fake_json_func.h
@@ -1,4 +1,4 @@
-/** @file fake_json_func.h  Reads fields of JSON objects. */
+/** @file fake_json_func.h  Access to optional fields of JSON objects. */
 #pragma once
 
 #include <string>
@@ -8,7 +8,7 @@
 namespace Chestnuthook
 {
 
-/** The field @p name, or @p otherwise where it is missing or null; throws Poco::Exception where its type is wrong. */
+/** The field @p name, or @p otherwise if it is missing or null. @throws Poco::Exception if it has the wrong type. */
 template<typename T>
 [[nodiscard]] T fakeField(const Poco::JSON::Object &json, const std::string &name, T otherwise)
 {
--- a/src/fakes/fake_ledger_base.cpp
+++ b/src/fakes/fake_ledger_base.cpp
@@ -1,4 +1,4 @@
-/** @file fake_ledger_base.cpp  The ledger of a stand-in. */
+/** @file fake_ledger_base.cpp  Ledger of a fake server. */
 #include "fakes/fake_ledger_base.h"
 
 #include <algorithm>
@@ -46,7 +46,7 @@
 {
     const std::scoped_lock lock(this->mutex);
     this->entries.push_back(std::move(entry));
-    if (this->entries.size() > EntryBound) {
+    if (this->entries.size() > MaxEntries) {
         this->entries.pop_front();
         this->dropped += 1;
     }
--- a/src/fakes/fake_platform_base.cpp
+++ b/src/fakes/fake_platform_base.cpp
@@ -1,4 +1,4 @@
-/** @file fake_platform_base.cpp  The stand-in for the platform. */
+/** @file fake_platform_base.cpp  Fake platform. */
 #include "fakes/fake_platform_base.h"
 #include "fakes/fake_json_func.h"
 
@@ -15,7 +15,7 @@
 
 using Poco::Net::HTTPResponse;
 
-bool knownKind(const std::string &kind)
+bool isKnownKind(const std::string &kind)
 {
     return kind == "engine" || kind == "service";
 }
@@ -58,7 +58,7 @@
     std::vector<FakeInstance> instances;
     for (const std::string &item : fakeSplit(text, ',')) {
         const auto parts = fakeSplit(item, '/');
-        if (parts.size() != 4 || !knownKind(parts[1])) {
+        if (parts.size() != 4 || !isKnownKind(parts[1])) {
             return fail(ErrorKind::BadSetting, "'" + item + "' is not ip:port/engine|service/name/data_centre");
         }
         instances.push_back({parts[0], parts[1], parts[2], parts[3], "live"});
@@ -84,7 +84,7 @@
 void FakePlatform::join(const FakeInstance &instance, std::int64_t nowMs)
 {
     const std::scoped_lock lock(this->mutex);
-    Version version{nowMs, this->versions.back().instances};
+    ListVersion version{nowMs, this->versions.back().instances};
     if (const auto found = findAddress(version.instances, instance.address); found != version.instances.end()) {
         *found = instance;
     } else {
@@ -96,7 +96,7 @@
 bool FakePlatform::leave(const std::string &address, bool remove, std::int64_t nowMs)
 {
     const std::scoped_lock lock(this->mutex);
-    Version version{nowMs, this->versions.back().instances};
+    ListVersion version{nowMs, this->versions.back().instances};
     const auto found = findAddress(version.instances, address);
     if (found == version.instances.end()) {
         return false;
@@ -134,22 +134,22 @@
         }
         return sendOk(exchange);
     }
-    if (instance.address.empty() || !knownKind(instance.kind)) {
+    if (instance.address.empty() || !isKnownKind(instance.kind)) {
         return sendError(exchange, HTTPResponse::HTTP_BAD_REQUEST, "bad_request", "address and kind are needed");
     }
     this->join(instance, fakeNowMs());
     return sendOk(exchange);
 }
 
-/** Takes the weight store for @p takesMs; else the milliseconds until it is free. */
-std::int64_t FakePlatform::reserveLoad(std::int64_t takesMs)
+/** Reserves the weight store for @p transferMs if it is free. @return 0, or the milliseconds until it is free. */
+std::int64_t FakePlatform::reserveTransfer(std::int64_t transferMs)
 {
     const std::scoped_lock lock(this->mutex);
     const std::int64_t nowMs = fakeNowMs();
     if (nowMs < this->busyUntilMs) {
         return this->busyUntilMs - nowMs;
     }
-    this->busyUntilMs = nowMs + takesMs;
+    this->busyUntilMs = nowMs + transferMs;
     return 0;
 }
 
@@ -166,13 +166,13 @@
         return sendError(exchange, HTTPResponse::HTTP_BAD_REQUEST, "bad_request", "endpoint and model are needed");
     }
     exchange.note = "endpoint=" + endpoint + " model=" + model;
-    const std::int64_t takesMs = bytes * 1000 / this->options.weightBytesPerSecond;
-    if (const std::int64_t waitMs = this->reserveLoad(takesMs); waitMs > 0) {
+    const std::int64_t transferMs = bytes * 1000 / this->options.weightBytesPerSecond;
+    if (const std::int64_t waitMs = this->reserveTransfer(transferMs); waitMs > 0) {
         exchange.response.set("Retry-After", std::to_string((waitMs + 999) / 1000));
         return sendError(exchange, HTTPResponse::HTTP_TOO_MANY_REQUESTS, "rate_exceeded",
             "the weight store is at its rate for " + std::to_string(waitMs) + " ms");
     }
-    if (!waitWhileHeld(exchange, takesMs * 1000)) {
+    if (!waitUnlessDisconnected(exchange, transferMs * 1000)) {
         return FakeOutcome::Cancelled;
     }
     return sendOk(exchange);
--- a/src/fakes/fake_platform_base.h
+++ b/src/fakes/fake_platform_base.h
@@ -1,4 +1,4 @@
-/** @file fake_platform_base.h  The stand-in for the platform: the instance list and the weight store. */
+/** @file fake_platform_base.h  Fake platform: the instance list and the store of model weights. */
 #pragma once
 
 #include <cstdint>
@@ -12,58 +12,58 @@
 namespace Chestnuthook
 {
 
-/** One instance in the platform's list. */
+/** An instance in the list of the platform. */
 struct FakeInstance
 {
     std::string address; ///< `ip:port`.
     std::string kind; ///< `engine` or `service`.
-    std::string name; ///< Of the engine or service.
-    std::string dataCentre; ///< Where it stands.
+    std::string name; ///< Name of the engine or service.
+    std::string dataCentre; ///< Data centre of the instance.
     std::string state = "live"; ///< `live` or `leaving`.
 };
 
-/** Settings of the platform. */
+/** Settings of a FakePlatform. */
 struct FakePlatformOptions
 {
-    std::vector<FakeInstance> instances; ///< The list at the start.
-    std::int64_t listLagMs = 500; ///< The list shows changes this many milliseconds late.
-    std::int64_t weightBytesPerSecond = 100'000'000; ///< What the weight store gives out in all.
-    std::int64_t modelBytes = 10'000'000; ///< Size of a model's weights where a load names none.
+    std::vector<FakeInstance> instances; ///< Instances at the start.
+    std::int64_t listLagMs = 500; ///< Delay in milliseconds until a change shows in the list.
+    std::int64_t weightBytesPerSecond = 100'000'000; ///< Total rate of the weight store.
+    std::int64_t modelBytes = 10'000'000; ///< Size of the weights of a model if the request gives none.
 };
 
-/** Reads `ip:port/kind/name/data_centre,...`. */
+/** Parses `ip:port/kind/name/data_centre,...`. Errors: BadSetting. */
 [[nodiscard]] Result<std::vector<FakeInstance>> parseFakeInstances(const std::string &text);
 
-/** The platform; thread-safe. */
+/** A fake platform; thread-safe. */
 class FakePlatform
 {
 public:
     explicit FakePlatform(FakePlatformOptions settings);
-    /** Answers one request. */
+    /** Handles one request. */
     FakeOutcome serve(FakeExchange &exchange);
-    /** The list as it is shown at @p nowMs. */
+    /** The instance list that clients see at @p nowMs. */
     [[nodiscard]] std::vector<FakeInstance> listAt(std::int64_t nowMs);
-    /** Puts @p instance into the list, or replaces the one at its address. */
+    /** Adds @p instance to the list, or replaces the one with its address. */
     void join(const FakeInstance &instance, std::int64_t nowMs);
-    /** Marks the instance as leaving, or takes it out with @p remove; false where there is none. */
+    /** Marks the instance at @p address as leaving or, with @p remove, removes it. @return false if there is none. */
     bool leave(const std::string &address, bool remove, std::int64_t nowMs);
 
 private:
-    struct Version
+    struct ListVersion
     {
-        std::int64_t sinceMs = 0; ///< When it became true, Unix time in milliseconds.
-        std::vector<FakeInstance> instances; ///< The whole list.
+        std::int64_t sinceMs = 0; ///< Time of the change; Unix time in milliseconds.
+        std::vector<FakeInstance> instances; ///< The complete list.
     };
 
     FakeOutcome sendInstances(FakeExchange &exchange);
     FakeOutcome changeList(FakeExchange &exchange);
     FakeOutcome loadWeights(FakeExchange &exchange);
-    std::int64_t reserveLoad(std::int64_t takesMs);
+    std::int64_t reserveTransfer(std::int64_t transferMs);
 
-    FakePlatformOptions options; ///< Never changes.
-    std::mutex mutex; ///< Guards all below.
-    std::deque<Version> versions; ///< Oldest first, never empty; only the first may be older than the lag.
-    std::int64_t busyUntilMs = 0; ///< The weight store gives its whole rate to one load until then.
+    FakePlatformOptions options; ///< Constant.
+    std::mutex mutex; ///< Guards all members below.
+    std::deque<ListVersion> versions; ///< Oldest first, never empty; listAt() drops outdated versions.
+    std::int64_t busyUntilMs = 0; ///< Unix time in milliseconds until which a transfer takes the whole rate.
 };
 
 } // namespace Chestnuthook
--- a/src/fakes/fake_server_func.cpp
+++ b/src/fakes/fake_server_func.cpp
@@ -1,4 +1,4 @@
-/** @file fake_server_func.cpp  The HTTP parts that all stand-ins share. */
+/** @file fake_server_func.cpp  HTTP server of all fakes. */
 #include "fakes/fake_server_func.h"
 #include "fakes/fake_json_func.h"
 
@@ -31,9 +31,9 @@
 namespace
 {
 
-constexpr std::size_t BodyBoundBytes = std::size_t{4} * 1024 * 1024;
-constexpr std::int64_t WaitSliceUs = 20000;
-constexpr std::int64_t HangBoundUs = 60'000'000;
+constexpr std::size_t MaxBodyBytes = std::size_t{4} * 1024 * 1024;
+constexpr std::int64_t DisconnectPollIntervalUs = 20000;
+constexpr std::int64_t MaxHangUs = 60'000'000;
 constexpr int ThreadStackBytes = 512 * 1024;
 constexpr int PoolIdleSeconds = 60;
 constexpr int KeepAliveSeconds = 60;
@@ -41,20 +41,20 @@
 constexpr int StatusBadRequest = 400;
 constexpr int StatusTooLarge = 413;
 constexpr int StatusUnavailable = 503;
-constexpr std::string_view CommonPrefix = "/fake/";
+constexpr std::string_view FakeRoutePrefix = "/fake/";
 
-int connectionOf(Poco::Net::HTTPServerRequest &request)
+int socketOf(Poco::Net::HTTPServerRequest &request)
 {
     auto *concrete = dynamic_cast<Poco::Net::HTTPServerRequestImpl *>(&request);
     return concrete == nullptr ? -1 : concrete->socket().impl()->sockfd();
 }
 
-/** Reads at most one byte more than the bound, so that the caller sees that it was passed. */
+/** Reads the body. Stops after the chunk that passes the limit, so that the caller can detect an oversized body. */
 std::string readBody(std::istream &stream)
 {
     std::string body;
     std::array<char, 16384> piece{};
-    while (stream && body.size() <= BodyBoundBytes) {
+    while (stream && body.size() <= MaxBodyBytes) {
         stream.read(piece.data(), piece.size());
         body.append(piece.data(), static_cast<std::size_t>(stream.gcount()));
     }
@@ -63,7 +63,7 @@
 
 FakeExchange makeExchange(Poco::Net::HTTPServerRequest &request, Poco::Net::HTTPServerResponse &response)
 {
-    FakeExchange exchange{request, response, connectionOf(request), {}, {}, {}, {}, {}, {}, {}, {}};
+    FakeExchange exchange{request, response, socketOf(request), {}, {}, {}, {}, {}, {}, {}, {}};
     const Poco::URI uri(request.getURI());
     exchange.path = uri.getPath();
     for (const auto &[name, value] : uri.getQueryParameters()) {
@@ -71,7 +71,7 @@
     }
     exchange.attempt = request.get("X-Attempt-Id", "");
     exchange.program = request.get("X-Program-Id", "");
-    exchange.answerAttempt = exchange.attempt;
+    exchange.responseAttempt = exchange.attempt;
     exchange.body = readBody(request.stream());
     return exchange;
 }
@@ -102,7 +102,7 @@
     return json;
 }
 
-FakeOutcome health(FakeExchange &exchange, const FakeCommon &common)
+FakeOutcome health(FakeExchange &exchange, const FakeServerContext &common)
 {
     Poco::JSON::Object::Ptr json = new Poco::JSON::Object;
     json->set("status", "ok");
@@ -133,7 +133,7 @@
     return spec;
 }
 
-FakeOutcome faultRoute(FakeExchange &exchange, FakeCommon &common)
+FakeOutcome handleFaultRoute(FakeExchange &exchange, FakeServerContext &common)
 {
     Poco::JSON::Object::Ptr answer = new Poco::JSON::Object;
     answer->set("ok", true);
@@ -151,16 +151,16 @@
     return sendJson(exchange, StatusOk, answer);
 }
 
-/** Faults that strike before the stand-in does anything; nothing where it goes on. */
-std::optional<FakeOutcome> strikeFirst(FakeExchange &exchange)
+/** Applies the faults that take effect before the request is handled. @return nothing if it is to be handled. */
+std::optional<FakeOutcome> applyEarlyFault(FakeExchange &exchange)
 {
     if (hasFault(exchange, FakeFaultKind::Crash) && exchange.fault && exchange.fault->afterTokens == 0) {
-        waitWhileHeld(exchange, exchange.fault->delayMs * 1000);
+        waitUnlessDisconnected(exchange, exchange.fault->delayMs * 1000);
         _exit(1);
     }
     if (hasFault(exchange, FakeFaultKind::Hang)) {
-        waitWhileHeld(exchange, HangBoundUs);
-        closeMidway(exchange);
+        waitUnlessDisconnected(exchange, MaxHangUs);
+        abortConnection(exchange);
         return FakeOutcome::Fault;
     }
     if (hasFault(exchange, FakeFaultKind::Refuse)) {
@@ -169,10 +169,10 @@
     return std::nullopt;
 }
 
-FakeOutcome answer(FakeExchange &exchange, const FakeServe &serve)
+FakeOutcome serveWithFaults(FakeExchange &exchange, const FakeRequestHandler &serve)
 {
-    if (const auto struck = strikeFirst(exchange)) {
-        return *struck;
+    if (const auto taken = applyEarlyFault(exchange)) {
+        return *taken;
     }
     try {
         return serve(exchange);
@@ -184,21 +184,21 @@
     }
 }
 
-void recordAndAnswer(FakeExchange &exchange, FakeCommon &common, const FakeServe &serve)
+void recordAndServe(FakeExchange &exchange, FakeServerContext &common, const FakeRequestHandler &serve)
 {
     const std::size_t number = common.ledger.begin(makeEntry(exchange));
     const bool work = exchange.path.starts_with(common.workPath);
     exchange.fault = common.faults.take(exchange.path, work, exchange.body);
     if (hasFault(exchange, FakeFaultKind::Crossed)) {
-        exchange.answerAttempt = common.ledger.otherAttempt(exchange.attempt);
+        exchange.responseAttempt = common.ledger.otherAttempt(exchange.attempt);
     }
-    const FakeOutcome outcome = answer(exchange, serve);
+    const FakeOutcome outcome = serveWithFaults(exchange, serve);
     common.ledger.end(number, outcome, exchange.note, fakeNowMs());
 }
 
-void route(FakeExchange &exchange, FakeCommon &common, const FakeServe &serve)
+void route(FakeExchange &exchange, FakeServerContext &common, const FakeRequestHandler &serve)
 {
-    if (exchange.body.size() > BodyBoundBytes) {
+    if (exchange.body.size() > MaxBodyBytes) {
         exchange.response.setKeepAlive(false);
         sendError(exchange, StatusTooLarge, "body_too_large", "a body is at most 4 MiB");
     } else if (exchange.path == "/healthz") {
@@ -206,18 +206,18 @@
     } else if (exchange.path == "/fake/ledger") {
         sendJson(exchange, StatusOk, common.ledger.toJson());
     } else if (exchange.path == "/fake/fault") {
-        answer(exchange, [&common](FakeExchange &request) {
-            return faultRoute(request, common);
+        serveWithFaults(exchange, [&common](FakeExchange &request) {
+            return handleFaultRoute(request, common);
         });
-    } else if (exchange.path.starts_with(CommonPrefix)) {
-        answer(exchange, serve);
+    } else if (exchange.path.starts_with(FakeRoutePrefix)) {
+        serveWithFaults(exchange, serve);
     } else {
-        recordAndAnswer(exchange, common, serve);
+        recordAndServe(exchange, common, serve);
     }
 }
 
-/** Answers a request that could not even be read. */
-void refuseUnread(Poco::Net::HTTPServerResponse &response)
+/** Sends an error for a request that could not be read. */
+void rejectUnreadableRequest(Poco::Net::HTTPServerResponse &response)
 {
     if (response.sent()) {
         return;
@@ -228,12 +228,12 @@
     errorJson("bad_request", "the request can't be read")->stringify(response.send());
 }
 
-class FakeHandler : public Poco::Net::HTTPRequestHandler
+class FakeHttpHandler : public Poco::Net::HTTPRequestHandler
 {
 public:
-    FakeHandler(FakeCommon &commonParts, const FakeServe &serveRest)
-        : common(commonParts)
-        , serve(serveRest)
+    FakeHttpHandler(FakeServerContext &serverContext, const FakeRequestHandler &requestHandler)
+        : common(serverContext)
+        , serve(requestHandler)
     {
     }
 
@@ -244,39 +244,39 @@
             route(exchange, this->common, this->serve);
         } catch (const Poco::Exception &error) {
             std::fprintf(stderr, "event=fake_request_failed reason=\"%s\"\n", error.displayText().c_str());
-            refuseUnread(response);
+            rejectUnreadableRequest(response);
         }
     }
 
 private:
-    FakeCommon &common; ///< Outlives the server.
-    const FakeServe &serve; ///< Outlives the server.
+    FakeServerContext &common; ///< Must outlive the server.
+    const FakeRequestHandler &serve; ///< Must outlive the server.
 };
 
-class FakeHandlerFactory : public Poco::Net::HTTPRequestHandlerFactory
+class FakeHttpHandlerFactory : public Poco::Net::HTTPRequestHandlerFactory
 {
 public:
-    FakeHandlerFactory(FakeCommon &commonParts, const FakeServe &serveRest)
-        : common(commonParts)
-        , serve(serveRest)
+    FakeHttpHandlerFactory(FakeServerContext &serverContext, const FakeRequestHandler &requestHandler)
+        : common(serverContext)
+        , serve(requestHandler)
     {
     }
 
     Poco::Net::HTTPRequestHandler *createRequestHandler(const Poco::Net::HTTPServerRequest & /*request*/) override
     {
-        return new FakeHandler(this->common, this->serve);
+        return new FakeHttpHandler(this->common, this->serve);
     }
 
 private:
-    FakeCommon &common; ///< Outlives the server.
-    const FakeServe &serve; ///< Outlives the server.
+    FakeServerContext &common; ///< Must outlive the server.
+    const FakeRequestHandler &serve; ///< Must outlive the server.
 };
 
 Poco::Net::HTTPServerParams::Ptr serverParams()
 {
     Poco::Net::HTTPServerParams::Ptr params = new Poco::Net::HTTPServerParams;
-    params->setMaxThreads(FakeServer::ConnectionBound);
-    params->setMaxQueued(FakeServer::ConnectionBound);
+    params->setMaxThreads(FakeServer::MaxConnections);
+    params->setMaxQueued(FakeServer::MaxConnections);
     params->setKeepAlive(true);
     params->setMaxKeepAliveRequests(0);
     params->setKeepAliveTimeout(Poco::Timespan(KeepAliveSeconds, 0));
@@ -291,10 +291,10 @@
     return hasFault(exchange, FakeFaultKind::Crossed) ? FakeOutcome::Fault : FakeOutcome::Ok;
 }
 
-FakeOutcome sendHalf(FakeExchange &exchange, const std::string &text)
+FakeOutcome sendTruncated(FakeExchange &exchange, const std::string &text)
 {
     exchange.response.send() << text.substr(0, text.size() / 2) << std::flush;
-    closeMidway(exchange);
+    abortConnection(exchange);
     return FakeOutcome::Fault;
 }
 
@@ -336,26 +336,27 @@
     return exchange.fault && exchange.fault->kind == kind ? exchange.fault->delayMs : 0;
 }
 
-bool clientGone(const FakeExchange &exchange)
+bool clientDisconnected(const FakeExchange &exchange)
 {
     pollfd watched{exchange.socket, POLLRDHUP, 0};
     return poll(&watched, 1, 0) > 0 && (watched.revents & (POLLRDHUP | POLLHUP | POLLERR | POLLNVAL)) != 0;
 }
 
-bool waitWhileHeld(const FakeExchange &exchange, std::int64_t waitUs)
+bool waitUnlessDisconnected(const FakeExchange &exchange, std::int64_t waitUs)
 {
     const auto until = std::chrono::steady_clock::now() + std::chrono::microseconds(waitUs);
-    while (!clientGone(exchange)) {
+    while (!clientDisconnected(exchange)) {
         const auto left = until - std::chrono::steady_clock::now();
         if (left <= left.zero()) {
             return true;
         }
-        std::this_thread::sleep_for(std::min<std::chrono::nanoseconds>(left, std::chrono::microseconds(WaitSliceUs)));
+        std::this_thread::sleep_for(
+            std::min<std::chrono::nanoseconds>(left, std::chrono::microseconds(DisconnectPollIntervalUs)));
     }
     return false;
 }
 
-void closeMidway(const FakeExchange &exchange)
+void abortConnection(const FakeExchange &exchange)
 {
     exchange.response.setKeepAlive(false);
     shutdown(exchange.socket, SHUT_RDWR);
@@ -376,7 +377,7 @@
 
 FakeOutcome sendJson(FakeExchange &exchange, int status, const Poco::JSON::Object::Ptr &json)
 {
-    if (!waitWhileHeld(exchange, faultDelayMs(exchange, FakeFaultKind::Late) * 1000)) {
+    if (!waitUnlessDisconnected(exchange, faultDelayMs(exchange, FakeFaultKind::Late) * 1000)) {
         return FakeOutcome::Cancelled;
     }
     std::ostringstream text;
@@ -384,11 +385,11 @@
     exchange.response.setStatusAndReason(static_cast<Poco::Net::HTTPResponse::HTTPStatus>(status));
     exchange.response.setContentType("application/json");
     exchange.response.setContentLength64(static_cast<Poco::Int64>(text.str().size()));
-    if (!exchange.answerAttempt.empty()) {
-        exchange.response.set("X-Attempt-Id", exchange.answerAttempt);
+    if (!exchange.responseAttempt.empty()) {
+        exchange.response.set("X-Attempt-Id", exchange.responseAttempt);
     }
     if (hasFault(exchange, FakeFaultKind::Truncate)) {
-        return sendHalf(exchange, text.str());
+        return sendTruncated(exchange, text.str());
     }
     std::ostream &out = exchange.response.send();
     out << text.str() << std::flush;
@@ -400,10 +401,10 @@
     return sendJson(exchange, status, errorJson(code, message));
 }
 
-FakeServer::FakeServer(FakeCommon &commonParts, FakeServe serveRest)
-    : common(commonParts)
-    , serve(std::move(serveRest))
-    , pool(2, ConnectionBound + 2, PoolIdleSeconds, ThreadStackBytes)
+FakeServer::FakeServer(FakeServerContext &serverContext, FakeRequestHandler requestHandler)
+    : common(serverContext)
+    , serve(std::move(requestHandler))
+    , pool(2, MaxConnections + 2, PoolIdleSeconds, ThreadStackBytes)
 {
 }
 
@@ -412,9 +413,9 @@
     try {
         Poco::Net::ServerSocket socket;
         socket.bind(Poco::Net::SocketAddress(address), true, false);
-        socket.listen(ConnectionBound);
+        socket.listen(MaxConnections);
         this->server = std::make_unique<Poco::Net::HTTPServer>(
-            new FakeHandlerFactory(this->common, this->serve), this->pool, socket, serverParams());
+            new FakeHttpHandlerFactory(this->common, this->serve), this->pool, socket, serverParams());
         this->server->start();
         return socket.address().toString();
     } catch (const Poco::Exception &error) {
--- a/src/fakes/fake_server_func.h
+++ b/src/fakes/fake_server_func.h
@@ -1,4 +1,4 @@
-/** @file fake_server_func.h  The HTTP parts that all stand-ins share: exchanges, JSON answers, ledger and faults. */
+/** @file fake_server_func.h  HTTP server of all fakes: requests, JSON responses, ledger and fault injection. */
 #pragma once
 
 #include <cstdint>
@@ -24,74 +24,74 @@
 namespace Chestnuthook
 {
 
-/** What each stand-in has besides its own state. */
-struct FakeCommon
+/** State that every fake server has. */
+struct FakeServerContext
 {
-    std::string name; ///< The name of the service or engine.
-    std::string dataCentre; ///< Where it says that it stands.
-    std::string workPath; ///< Prefix of the paths that faults without a path strike.
-    FakeLedger ledger; ///< All requests but health checks and `/fake/` routes.
-    FakeFault faults; ///< What is still to go wrong.
+    std::string name; ///< Name of the engine, service or platform.
+    std::string dataCentre; ///< Data centre that it reports.
+    std::string workPath; ///< Prefix of the work paths, which faults without a path affect.
+    FakeLedger ledger; ///< All requests except health checks and `/fake/` routes.
+    FakeFaultQueue faults; ///< Faults that are still to be injected.
 };
 
-/** One request with its answer under way; lives on the thread of its connection. */
+/** A request and its response; used by the thread of its connection only. */
 struct FakeExchange
 {
-    Poco::Net::HTTPServerRequest &request; ///< The request.
-    Poco::Net::HTTPServerResponse &response; ///< The answer.
-    int socket = -1; ///< The connection, to see whether the client has gone.
-    std::string path; ///< The path without the query.
-    std::map<std::string, std::string> query; ///< The decoded parameters of the query.
-    std::string body; ///< The whole body.
+    Poco::Net::HTTPServerRequest &request; ///< Request headers and body stream.
+    Poco::Net::HTTPServerResponse &response; ///< Response to send.
+    int socket = -1; ///< File descriptor of the connection, to detect a disconnect of the client.
+    std::string path; ///< Path without the query.
+    std::map<std::string, std::string> query; ///< Decoded query parameters.
+    std::string body; ///< Complete request body.
     std::string attempt; ///< Header X-Attempt-Id.
     std::string program; ///< Header X-Program-Id.
-    std::string answerAttempt; ///< The attempt id that the answer carries; another one where it is crossed.
-    std::optional<FakeFaultSpec> fault; ///< What goes wrong with it.
-    std::string note; ///< Goes into the ledger.
+    std::string responseAttempt; ///< Attempt id of the response; that of another request for a crossed fault.
+    std::optional<FakeFaultSpec> fault; ///< Fault to inject.
+    std::string note; ///< Details for the ledger.
 };
 
-using FakeServe = std::function<FakeOutcome(FakeExchange &)>; ///< Answers one request.
+using FakeRequestHandler = std::function<FakeOutcome(FakeExchange &)>; ///< Handles one request.
 
-/** Unix time in milliseconds. */
+/** Current Unix time in milliseconds. */
 [[nodiscard]] std::int64_t fakeNowMs();
-/** The hash of @p text as 16 hex digits. */
+/** Hash of @p text as 16 hexadecimal digits. */
 [[nodiscard]] std::string fakeDigest(std::string_view text);
-/** The parts of @p text between separators; empty ones are left out. */
+/** Splits @p text at @p separator and drops empty parts. */
 [[nodiscard]] std::vector<std::string> fakeSplit(const std::string &text, char separator);
 
-/** Whether the fault of @p exchange is of @p kind. */
+/** Whether @p exchange has a fault of @p kind. */
 [[nodiscard]] bool hasFault(const FakeExchange &exchange, FakeFaultKind kind);
-/** The delay of the fault in milliseconds if it is of @p kind, else 0. */
+/** Delay of the fault in milliseconds if it is of @p kind; otherwise 0. */
 [[nodiscard]] std::int64_t faultDelayMs(const FakeExchange &exchange, FakeFaultKind kind);
-/** Whether the client has closed its side. */
-[[nodiscard]] bool clientGone(const FakeExchange &exchange);
-/** Waits @p waitUs microseconds; false as soon as the client has gone. */
-bool waitWhileHeld(const FakeExchange &exchange, std::int64_t waitUs);
-/** Closes the connection with the answer unfinished. */
-void closeMidway(const FakeExchange &exchange);
+/** Whether the client has closed its side of the connection. */
+[[nodiscard]] bool clientDisconnected(const FakeExchange &exchange);
+/** Waits @p waitUs microseconds. @return false as soon as the client has disconnected. */
+bool waitUnlessDisconnected(const FakeExchange &exchange, std::int64_t waitUs);
+/** Closes the connection before the response is complete. */
+void abortConnection(const FakeExchange &exchange);
 
-/** The body as a JSON object; BadRequest where it is none. */
+/** Parses the body as a JSON object. Errors: BadRequest. */
 [[nodiscard]] Result<Poco::JSON::Object::Ptr> parseBody(const FakeExchange &exchange);
-/** Sends @p json with @p status; this is where a late, truncated or crossed answer comes about. */
+/** Sends @p json with @p status. Applies late, truncate and crossed faults. */
 FakeOutcome sendJson(FakeExchange &exchange, int status, const Poco::JSON::Object::Ptr &json);
-/** Sends a JSON error with @p status. */
+/** Sends an error as JSON with @p status. */
 FakeOutcome sendError(FakeExchange &exchange, int status, const std::string &code, const std::string &message);
 
-/** A bound stand-in server. */
+/** HTTP server of a fake. */
 class FakeServer
 {
 public:
-    static constexpr int ConnectionBound = 600; ///< Connections served at the same time.
+    static constexpr int MaxConnections = 600; ///< Number of connections served at the same time.
 
-    FakeServer(FakeCommon &common, FakeServe serve);
-    /** Binds @p address (`ip:port`, port 0 for any) and starts; the result is the bound address. */
+    FakeServer(FakeServerContext &common, FakeRequestHandler serve);
+    /** Listens on @p address (`ip:port`, port 0 for any free port). @return the bound address. Errors: AddressInUse. */
     Result<std::string> start(const std::string &address);
 
 private:
-    FakeCommon &common; ///< Outlives the server.
-    FakeServe serve; ///< Answers what the common routes don't.
+    FakeServerContext &common; ///< Must outlive the server.
+    FakeRequestHandler serve; ///< Handles all requests except the common routes.
     Poco::ThreadPool pool; ///< One thread per connection.
-    std::unique_ptr<Poco::Net::HTTPServer> server; ///< Set by start().
+    std::unique_ptr<Poco::Net::HTTPServer> server; ///< Created by start().
 };
 
 } // namespace Chestnuthook
--- a/src/fakes/fake_service_base.cpp
+++ b/src/fakes/fake_service_base.cpp
@@ -1,4 +1,4 @@
-/** @file fake_service_base.cpp  The stand-in for a plain service. */
+/** @file fake_service_base.cpp  Fake service that tools call. */
 #include "fakes/fake_service_base.h"
 
 #include <string>
@@ -8,8 +8,8 @@
 namespace Chestnuthook
 {
 
-FakeService::FakeService(FakeCommon &commonParts)
-    : common(commonParts)
+FakeService::FakeService(FakeServerContext &serverContext)
+    : common(serverContext)
 {
 }
 
@@ -21,7 +21,7 @@
     }
     const std::uint64_t number = this->sequence.fetch_add(1) + 1;
     exchange.note = "sequence=" + std::to_string(number);
-    if (!waitWhileHeld(exchange, delayMs * 1000)) {
+    if (!waitUnlessDisconnected(exchange, delayMs * 1000)) {
         return FakeOutcome::Cancelled;
     }
     const bool crossed = hasFault(exchange, FakeFaultKind::Crossed);
--- a/src/fakes/fake_service_base.h
+++ b/src/fakes/fake_service_base.h
@@ -1,4 +1,4 @@
-/** @file fake_service_base.h  The stand-in for a plain service. */
+/** @file fake_service_base.h  Fake service that tools call. */
 #pragma once
 
 #include <atomic>
@@ -9,17 +9,18 @@
 namespace Chestnuthook
 {
 
-/** Answers any method on any path with what it saw; its sequence counts the requests that took effect. */
+/** Responds to any method on any path with a description of the request. Each request gets the next sequence number; it
+ * counts as executed from then on, also if the client disconnects later. */
 class FakeService
 {
 public:
-    explicit FakeService(FakeCommon &commonParts);
-    /** Answers one request; the parameter `delay_ms` of the query holds the answer back. */
+    explicit FakeService(FakeServerContext &serverContext);
+    /** Handles one request; the query parameter `delay_ms` delays the response by that many milliseconds. */
     FakeOutcome serve(FakeExchange &exchange);
 
 private:
-    FakeCommon &common; ///< Outlives the service.
-    std::atomic<std::uint64_t> sequence = 0; ///< Requests that took effect.
+    FakeServerContext &common; ///< Must outlive the service.
+    std::atomic<std::uint64_t> sequence = 0; ///< Number of requests executed.
 };
 
 } // namespace Chestnuthook
--- a/src/fakes/main.cpp
+++ b/src/fakes/main.cpp
@@ -1,4 +1,4 @@
-/** @file main.cpp  chestnuthook-fakes engine|service|platform: stand-ins for tests and the demo. */
+/** @file main.cpp  chestnuthook-fakes engine|service|platform: fake servers for tests and the demo. */
 #include <csignal>
 #include <cstdio>
 #include <cstdlib>
@@ -31,7 +31,7 @@
 
 namespace GFLAGS_NAMESPACE
 {
-// Not in the library's header; it is called with 1 after a message about a bad flag.
+// Not declared in a gflags header. gflags calls it with exit status 1 after it has reported an invalid flag.
 extern void (*gflags_exitfunc)(int); // NOLINT(readability-identifier-naming)
 } // namespace GFLAGS_NAMESPACE
 
@@ -43,7 +43,7 @@
 
 constexpr int UsageExit = 2;
 
-[[noreturn]] void refuse(const std::string &message)
+[[noreturn]] void exitWithUsageError(const std::string &message)
 {
     std::fprintf(stderr, "chestnuthook-fakes: %s\n", message.c_str());
     std::exit(UsageExit);
@@ -52,7 +52,8 @@
 void requireAtLeast(const char *flag, std::int64_t value, std::int64_t least)
 {
     if (value < least) {
-        refuse("--" + std::string(flag) + "=" + std::to_string(value) + " must be at least " + std::to_string(least));
+        exitWithUsageError(
+            "--" + std::string(flag) + "=" + std::to_string(value) + " must be at least " + std::to_string(least));
     }
 }
 
@@ -96,21 +97,21 @@
     requireAtLeast("model_bytes", FLAGS_model_bytes, 0);
     auto instances = parseFakeInstances(FLAGS_endpoints);
     if (!instances) {
-        refuse("--endpoints: " + instances.error().what);
+        exitWithUsageError("--endpoints: " + instances.error().what);
     }
     return {std::move(*instances), FLAGS_list_lag_ms, FLAGS_weight_bytes_per_s, FLAGS_model_bytes};
 }
 
-/** Serves until SIGTERM or SIGINT, then ends the process at once. */
+/** Serves requests until SIGTERM or SIGINT, then exits immediately without waiting for requests. */
 template<typename Fake>
-[[noreturn]] void serveUntilSignal(FakeCommon &common, Fake &fake, const sigset_t &signals)
+[[noreturn]] void serveUntilSignal(FakeServerContext &common, Fake &fake, const sigset_t &signals)
 {
     FakeServer server(common, [&fake](FakeExchange &exchange) {
         return fake.serve(exchange);
     });
     const auto address = server.start(FLAGS_listen);
     if (!address) {
-        refuse(address.error().what);
+        exitWithUsageError(address.error().what);
     }
     std::printf("listening address=%s\n", address->c_str());
     std::fflush(stdout);
@@ -133,7 +134,7 @@
 [[noreturn]] void run(const std::string &kind)
 {
     const sigset_t signals = blockSignals();
-    FakeCommon common;
+    FakeServerContext common;
     common.name = FLAGS_name;
     common.dataCentre = FLAGS_data_centre;
     if (kind == "engine") {
@@ -151,7 +152,7 @@
         FakePlatform platform(platformOptions());
         serveUntilSignal(common, platform, signals);
     }
-    refuse("'" + kind + "' is not engine, service or platform");
+    exitWithUsageError("'" + kind + "' is not engine, service or platform");
 }
 
 } // namespace
@@ -162,7 +163,7 @@
 {
     Chestnuthook::parseFlags(&argc, &argv);
     if (argc != 2) {
-        Chestnuthook::refuse("give one of engine, service or platform; see --help");
+        Chestnuthook::exitWithUsageError("give one of engine, service or platform; see --help");
     }
     Chestnuthook::run(argv[1]);
 }
--- a/src/load/load_program_base.cpp
+++ b/src/load/load_program_base.cpp
@@ -189,7 +189,7 @@
     this->chat.messages.push_back(FakeMessage{"user", content});
     this->chat.maxTokens = step.maxTokens;
     std::string expected;
-    for (const std::string &piece : fakeAnswer(this->chat).pieces) {
+    for (const std::string &piece : generateFakeCompletion(this->chat).pieces) {
         expected += piece;
     }
     this->shared.record.check(LoadPromise::WholeOwnAnswer, answer.text == expected,
--- a/src/load/load_program_base.h
+++ b/src/load/load_program_base.h
@@ -58,7 +58,7 @@
     std::uint32_t budget = 0; ///< Calls that it may make in any case.
     std::uint32_t mostBudget = 0; ///< Calls that it may make where sub-agents gave back what they left.
     bool spent = false; ///< The budget has ended, as it should.
-    FakeChat chat; ///< History as the model should see it; foretells the stand-in's answers.
+    FakeChatRequest chat; ///< History as the model should see it; foretells the stand-in's answers.
     std::vector<std::string> answers; ///< Text or body of each answered call.
     bool failed = false; ///< A call was given up; the history's end is unknown.
     double busy = 0; ///< Seconds of waiting for answers.
--- a/tests/unit/fakes_test.cpp
+++ b/tests/unit/fakes_test.cpp
@@ -1,4 +1,4 @@
-/** @file fakes_test.cpp  The pure pieces of the stand-ins: answers, prefix cache, faults, instance list, ledger. */
+/** @file fakes_test.cpp  Parts of the fakes without network: completions, prefix cache, faults, instances, ledger. */
 #define BOOST_TEST_MODULE fakes
 #include <boost/test/unit_test.hpp>
 
@@ -16,9 +16,10 @@
 namespace
 {
 
-FakeChat chatOf(std::uint64_t maxTokens, const std::string &sent = "", const std::string &question = "what is near?")
+FakeChatRequest chatOf(
+    std::uint64_t maxTokens, const std::string &sent = "", const std::string &question = "what is near?")
 {
-    FakeChat chat;
+    FakeChatRequest chat;
     chat.model = "verse";
     chat.messages = {{"system", "be brief"}, {"user", question}};
     chat.sent = sent;
@@ -26,7 +27,7 @@
     return chat;
 }
 
-std::string textOf(const FakeAnswer &answer)
+std::string textOf(const FakeCompletion &answer)
 {
     std::string text;
     for (const std::string &piece : answer.pieces) {
@@ -35,7 +36,7 @@
     return text;
 }
 
-std::vector<std::string> wordsOf(const std::string &prefix, std::size_t count)
+std::vector<std::string> numberedWords(const std::string &prefix, std::size_t count)
 {
     std::vector<std::string> words;
     for (std::size_t index = 0; index < count; ++index) {
@@ -44,19 +45,19 @@
     return words;
 }
 
-Result<FakeChat> parse(const std::string &text)
+Result<FakeChatRequest> parse(const std::string &text)
 {
-    return parseFakeChat(*Poco::JSON::Parser().parse(text).extract<Poco::JSON::Object::Ptr>());
+    return parseFakeChatRequest(*Poco::JSON::Parser().parse(text).extract<Poco::JSON::Object::Ptr>());
 }
 
 } // namespace
 
 BOOST_AUTO_TEST_CASE(answerIsAFunctionOfModelAndMessages)
 {
-    const FakeAnswer answer = fakeAnswer(chatOf(100));
-    BOOST_TEST(textOf(answer) == textOf(fakeAnswer(chatOf(100))));
-    BOOST_TEST(textOf(answer) != textOf(fakeAnswer(chatOf(100, "", "what is far?"))));
-    BOOST_TEST(textOf(answer) != textOf(fakeAnswer(chatOf(100), 1)));
+    const FakeCompletion answer = generateFakeCompletion(chatOf(100));
+    BOOST_TEST(textOf(answer) == textOf(generateFakeCompletion(chatOf(100))));
+    BOOST_TEST(textOf(answer) != textOf(generateFakeCompletion(chatOf(100, "", "what is far?"))));
+    BOOST_TEST(textOf(answer) != textOf(generateFakeCompletion(chatOf(100), 1)));
     BOOST_TEST(answer.pieces.size() >= 8U);
     BOOST_TEST(answer.pieces.size() <= 31U);
     BOOST_TEST(!answer.cut);
@@ -64,19 +65,19 @@
 
 BOOST_AUTO_TEST_CASE(maxTokensCutsTheAnswer)
 {
-    const FakeAnswer answer = fakeAnswer(chatOf(5));
+    const FakeCompletion answer = generateFakeCompletion(chatOf(5));
     BOOST_TEST(answer.pieces.size() == 5U);
     BOOST_TEST(answer.cut);
-    BOOST_TEST(textOf(fakeAnswer(chatOf(100))).starts_with(textOf(answer)));
+    BOOST_TEST(textOf(generateFakeCompletion(chatOf(100))).starts_with(textOf(answer)));
 }
 
 BOOST_AUTO_TEST_CASE(continuationCompletesTheWholeFromEveryByte)
 {
     for (const std::uint64_t maxTokens : {7U, 100U}) {
-        const std::string whole = textOf(fakeAnswer(chatOf(maxTokens)));
+        const std::string whole = textOf(generateFakeCompletion(chatOf(maxTokens)));
         for (std::size_t at = 0; at <= whole.size(); ++at) {
             const std::string sent = whole.substr(0, at);
-            BOOST_TEST(sent + textOf(fakeAnswer(chatOf(maxTokens, sent))) == whole);
+            BOOST_TEST(sent + textOf(generateFakeCompletion(chatOf(maxTokens, sent))) == whole);
         }
     }
 }
@@ -85,7 +86,7 @@
 {
     const auto fresh = parse(R"({"model":"verse","messages":[{"role":"user","content":"hello"}]})");
     BOOST_TEST_REQUIRE(fresh.has_value());
-    const std::string whole = textOf(fakeAnswer(*fresh));
+    const std::string whole = textOf(generateFakeCompletion(*fresh));
     const std::string sent = whole.substr(0, whole.find(' '));
     const auto byMessage = parse(R"({"model":"verse","messages":[{"role":"user","content":"hello"},)"
                                  R"({"role":"assistant","content":")"
@@ -94,8 +95,8 @@
         parse(R"({"model":"verse","messages":[{"role":"user","content":"hello"}],"continue_from":")" + sent + R"("})");
     BOOST_TEST_REQUIRE(byMessage.has_value());
     BOOST_TEST_REQUIRE(byField.has_value());
-    BOOST_TEST(sent + textOf(fakeAnswer(*byMessage)) == whole);
-    BOOST_TEST(sent + textOf(fakeAnswer(*byField)) == whole);
+    BOOST_TEST(sent + textOf(generateFakeCompletion(*byMessage)) == whole);
+    BOOST_TEST(sent + textOf(generateFakeCompletion(*byField)) == whole);
 }
 
 BOOST_AUTO_TEST_CASE(malformedChatsAreRefused)
@@ -113,7 +114,7 @@
 BOOST_AUTO_TEST_CASE(cacheHoldsWholeBlocksOfACommonPrefix)
 {
     FakeCache cache(8, 4, {});
-    const auto words = wordsOf("a", 10);
+    const auto words = numberedWords("a", 10);
     BOOST_TEST(cache.cachedWords("verse", words) == 0U);
     cache.store("verse", words, "p1");
     BOOST_TEST(cache.size() == 2U);
@@ -127,13 +128,13 @@
 BOOST_AUTO_TEST_CASE(cacheEvictsTheLeastRecentlyUsedFromItsEnd)
 {
     FakeCache cache(4, 2, {});
-    cache.store("verse", wordsOf("a", 4), "p1");
-    cache.store("verse", wordsOf("b", 4), "p2");
-    cache.store("verse", wordsOf("a", 4), "p1");
-    cache.store("verse", wordsOf("c", 2), "p3");
+    cache.store("verse", numberedWords("a", 4), "p1");
+    cache.store("verse", numberedWords("b", 4), "p2");
+    cache.store("verse", numberedWords("a", 4), "p1");
+    cache.store("verse", numberedWords("c", 2), "p3");
     BOOST_TEST(cache.size() == 4U);
-    BOOST_TEST(cache.cachedWords("verse", wordsOf("a", 4)) == 4U);
-    BOOST_TEST(cache.cachedWords("verse", wordsOf("b", 4)) == 2U);
+    BOOST_TEST(cache.cachedWords("verse", numberedWords("a", 4)) == 4U);
+    BOOST_TEST(cache.cachedWords("verse", numberedWords("b", 4)) == 2U);
     const auto events = cache.eventsSince(0, 100);
     BOOST_TEST_REQUIRE(events.size() == 6U);
     BOOST_TEST(!events[4].stored);
@@ -146,7 +147,7 @@
 BOOST_AUTO_TEST_CASE(releaseFreesOnlyWhatNoOtherProgramUsed)
 {
     FakeCache cache(16, 2, {});
-    auto first = wordsOf("shared", 4);
+    auto first = numberedWords("shared", 4);
     auto second = first;
     first.insert(first.end(), {"x", "y"});
     second.insert(second.end(), {"v", "w"});
@@ -163,12 +164,12 @@
 
 BOOST_AUTO_TEST_CASE(aGapSkipsASequence)
 {
-    FakeFault faults;
+    FakeFaultQueue faults;
     faults.add({FakeFaultKind::Gap, "", "", 1, 0, 0});
     FakeCache cache(16, 2, [&faults] {
         return faults.takeGap();
     });
-    cache.store("verse", wordsOf("a", 4), "p1");
+    cache.store("verse", numberedWords("a", 4), "p1");
     const auto events = cache.eventsSince(0, 100);
     BOOST_TEST_REQUIRE(events.size() == 1U);
     BOOST_TEST(events[0].sequence == 2U);
@@ -176,7 +177,7 @@
 
 BOOST_AUTO_TEST_CASE(aFaultStrikesItsCountOfMatchingRequests)
 {
-    FakeFault faults;
+    FakeFaultQueue faults;
     faults.add({FakeFaultKind::Refuse, "poison", "", 2, 0, 0});
     BOOST_TEST(!faults.take("/v1/chat/completions", true, "harmless").has_value());
     BOOST_TEST(!faults.take("/v1/load", false, "poison").has_value());
@@ -187,12 +188,12 @@
 
 BOOST_AUTO_TEST_CASE(aFaultWithAPathStrikesOnlyThere)
 {
-    FakeFault faults;
+    FakeFaultQueue faults;
     faults.add({FakeFaultKind::Late, "", "/v1/orders", 1, 10, 0});
     BOOST_TEST(!faults.take("/v1/chat/completions", true, "").has_value());
-    const auto struck = faults.take("/v1/orders", false, "");
-    BOOST_TEST_REQUIRE(struck.has_value());
-    BOOST_TEST(struck->delayMs == 10);
+    const auto taken = faults.take("/v1/orders", false, "");
+    BOOST_TEST_REQUIRE(taken.has_value());
+    BOOST_TEST(taken->delayMs == 10);
 }
 
 BOOST_AUTO_TEST_CASE(faultKindsHaveTheirNames)
