--- a/src/load/load_client_base.cpp
+++ b/src/load/load_client_base.cpp
@@ -1,4 +1,4 @@
-/** @file load_client_base.cpp  Requests over HTTP. */
+/** @file load_client_base.cpp  HTTP client of the load tool. */
 #include "load/load_client_base.h"
 
 #include <algorithm>
@@ -25,7 +25,7 @@
 namespace
 {
 
-constexpr long AnswerSeconds = 60;
+constexpr long ResponseTimeoutSeconds = 60;
 constexpr std::string_view KeyPrefix = "KEY_";
 constexpr int StatusOk = 200;
 
@@ -44,7 +44,7 @@
     }
 }
 
-void readError(const Poco::JSON::Object::Ptr &object, LoadAnswer &answer)
+void readError(const Poco::JSON::Object::Ptr &object, LoadResponse &answer)
 {
     if (const auto error = object->getObject("error")) {
         answer.code = error->optValue<std::string>("code", "");
@@ -63,15 +63,15 @@
     return message.isNull() ? "" : message->optValue<std::string>("content", "");
 }
 
-/** Joins the pieces of a stream; it is whole where [DONE] came. */
-void readEvents(LoadAnswer &answer)
+/** Joins the chunks of an event stream; it is complete if it has the event `[DONE]`. */
+void readEvents(LoadResponse &answer)
 {
     std::istringstream lines(answer.body);
     std::string line;
-    answer.whole = false;
+    answer.complete = false;
     while (std::getline(lines, line)) {
         if (line == "data: [DONE]") {
-            answer.whole = true;
+            answer.complete = true;
         } else if (line.starts_with("data: ")) {
             const auto object = parseObject(line.substr(6));
             answer.text += textOfChoice(object, "delta");
@@ -80,7 +80,7 @@
     }
 }
 
-void readBody(const std::string &type, LoadAnswer &answer)
+void readBody(const std::string &type, LoadResponse &answer)
 {
     if (type.starts_with("text/event-stream")) {
         readEvents(answer);
@@ -93,7 +93,7 @@
 
 using Variables = std::vector<std::pair<std::string, std::string>>;
 
-/** NAME=VALUE lines in the order of the file. */
+/** Reads the NAME=VALUE lines of a file in their order. */
 Variables readVariables(const std::string &path)
 {
     Variables variables;
@@ -116,18 +116,18 @@
     return found == variables.end() ? "" : found->second;
 }
 
-/** Waits until all entries know all keys, which were perhaps just issued. */
+/** Waits until all entries accept all keys: a new key reaches the entries with a delay. */
 void waitForKeys(const LoadTarget &target)
 {
-    constexpr int Looks = 50;
-    constexpr auto LookPeriod = std::chrono::milliseconds(100);
+    constexpr int MaxPolls = 50;
+    constexpr auto PollInterval = std::chrono::milliseconds(100);
     constexpr int StatusUnknownKey = 401;
     for (const std::string &entry : target.entries) {
         for (const auto &[tenant, key] : target.tenants) {
-            for (int look = 0;
-                 look < Looks && sendRequest(entry, key, "GET", "/v1/programs/none", "").status == StatusUnknownKey;
-                 ++look) {
-                std::this_thread::sleep_for(LookPeriod);
+            for (int poll = 0;
+                 poll < MaxPolls && sendRequest(entry, key, "GET", "/v1/programs/none", "").status == StatusUnknownKey;
+                 ++poll) {
+                std::this_thread::sleep_for(PollInterval);
             }
         }
     }
@@ -168,13 +168,13 @@
     return target;
 }
 
-LoadAnswer sendRequest(const std::string &address, const std::string &key, const std::string &method,
+LoadResponse sendRequest(const std::string &address, const std::string &key, const std::string &method,
     const std::string &path, const std::string &body)
 {
-    LoadAnswer answer;
+    LoadResponse answer;
     try {
         Poco::Net::HTTPClientSession session{Poco::Net::SocketAddress(address)};
-        session.setTimeout(Poco::Timespan(AnswerSeconds, 0));
+        session.setTimeout(Poco::Timespan(ResponseTimeoutSeconds, 0));
         session.setKeepAlive(false);
         Poco::Net::HTTPRequest request(method, path, Poco::Net::HTTPMessage::HTTP_1_1);
         if (!key.empty()) {
@@ -188,13 +188,13 @@
         answer.body.assign(std::istreambuf_iterator<char>(stream), {});
         const bool cut = response.hasContentLength()
             && static_cast<std::streamsize>(answer.body.size()) < response.getContentLength();
-        answer.whole = session.networkException() == nullptr && !cut;
+        answer.complete = session.networkException() == nullptr && !cut;
         answer.status = static_cast<int>(response.getStatus());
         readBody(response.getContentType(), answer);
     } catch (const std::exception &) {
-        answer.whole = false;
+        answer.complete = false;
     }
-    if (!answer.whole) {
+    if (!answer.complete) {
         answer.status = 0;
     }
     return answer;
@@ -212,10 +212,10 @@
 
 void LoadDirectory::refresh()
 {
-    constexpr std::int64_t AskAgainMs = 500;
-    this->validUntilMs = steadyMs() + AskAgainMs;
+    constexpr std::int64_t DefaultTtlMs = 500;
+    this->validUntilMs = steadyMs() + DefaultTtlMs;
     for (const std::string &seed : this->seeds) {
-        const LoadAnswer answer = sendRequest(seed, "", "GET", "/v1/entries", "");
+        const LoadResponse answer = sendRequest(seed, "", "GET", "/v1/entries", "");
         if (answer.status != StatusOk) {
             continue;
         }
@@ -227,7 +227,7 @@
         }
         if (!found.empty()) {
             this->entries = std::move(found);
-            this->validUntilMs = steadyMs() + object->optValue<std::int64_t>("ttl_ms", AskAgainMs);
+            this->validUntilMs = steadyMs() + object->optValue<std::int64_t>("ttl_ms", DefaultTtlMs);
             return;
         }
     }
--- a/src/load/load_client_base.h
+++ b/src/load/load_client_base.h
@@ -1,4 +1,4 @@
-/** @file load_client_base.h  A caller of the system: finds an entry, sends a request, reads the whole answer. */
+/** @file load_client_base.h  HTTP client of the load tool: chooses entries, sends requests, parses responses. */
 #pragma once
 
 #include <cstdint>
@@ -10,40 +10,40 @@
 namespace Chestnuthook
 {
 
-/** Where the fleet is, from the fleet.env that scripts/fleet writes. */
+/** Addresses and keys of the fleet under load, from the fleet.env that scripts/fleet writes. */
 struct LoadTarget
 {
-    std::vector<std::string> entries; ///< ip:port.
-    std::vector<std::string> engines; ///< Stand-ins.
-    std::vector<std::string> services; ///< Stand-ins.
-    std::string model; ///< Name of the model.
-    std::string service; ///< Name of the service.
-    std::vector<std::pair<std::string, std::string>> tenants; ///< Name and key.
-    std::map<std::string, int> pids; ///< Of processes by name; empty where the folder has none.
-    std::map<std::string, std::string> addresses; ///< Of stand-ins by name, such as engine-1.
+    std::vector<std::string> entries; ///< Entries, as ip:port.
+    std::vector<std::string> engines; ///< Fake engines, as ip:port.
+    std::vector<std::string> services; ///< Fake services, as ip:port.
+    std::string model; ///< Name of the model to call.
+    std::string service; ///< Name of the service to call.
+    std::vector<std::pair<std::string, std::string>> tenants; ///< Customers: name and key.
+    std::map<std::string, int> pids; ///< Process ids by process name; empty if the folder has no file `pids`.
+    std::map<std::string, std::string> addresses; ///< Addresses of the fakes by name, for example `engine-1`.
 };
 
-/** Reads @p folder and waits until the entries know the keys in it. @throws std::runtime_error where it holds no fleet.
- */
+/** Reads the fleet in @p folder and waits until its entries accept the keys, 5 s at most for each key at each entry.
+ * @throws std::runtime_error if the folder holds no fleet. */
 [[nodiscard]] LoadTarget readTarget(const std::string &folder);
 
-/** An answer as a caller sees it. */
-struct LoadAnswer
+/** A parsed response. */
+struct LoadResponse
 {
-    int status = 0; ///< 0 where no whole answer came.
-    std::string body; ///< All of it.
-    std::string text; ///< Of a model's answer, joined where it was streamed.
-    bool whole = false; ///< It ended as it should.
-    std::string code; ///< Of an error.
-    std::string ran; ///< Of an error: no, yes, unknown.
-    std::int64_t retryAfterMs = 0; ///< Of an error.
+    int status = 0; ///< HTTP status; 0 if no complete response arrived.
+    std::string body; ///< The body as received.
+    std::string text; ///< Text of a completion; the chunks of a stream are joined.
+    bool complete = false; ///< Whether the response is complete; a stream must end with `[DONE]`.
+    std::string code; ///< Error code.
+    std::string ran; ///< Whether a failed call ran: `no`, `yes` or `unknown`.
+    std::int64_t retryAfterMs = 0; ///< Delay before a retry that an error asks for, in milliseconds.
 };
 
-/** Sends one request; does not throw. */
-[[nodiscard]] LoadAnswer sendRequest(const std::string &address, const std::string &key, const std::string &method,
+/** Sends one request on a new connection. Does not throw. */
+[[nodiscard]] LoadResponse sendRequest(const std::string &address, const std::string &key, const std::string &method,
     const std::string &path, const std::string &body);
 
-/** Asks the directory now and then and hands out entries, best first; thread-safe. */
+/** Chooses entries from the directory, which is queried again when its TTL has passed; thread-safe. */
 class LoadDirectory
 {
 public:
@@ -52,16 +52,16 @@
     {
     }
 
-    /** The entry to use for try @p attempt of program @p number. */
+    /** The entry for attempt @p attempt of a request of program @p number. */
     std::string choose(std::uint64_t number, unsigned attempt);
 
 private:
     void refresh();
 
-    const std::vector<std::string> seeds; ///< Entries known from the start.
-    std::mutex mutex; ///< Guards all below.
-    std::vector<std::string> entries; ///< As the directory told.
-    std::int64_t validUntilMs = 0; ///< By the steady clock.
+    const std::vector<std::string> seeds; ///< Configured entries, which serve the directory.
+    std::mutex mutex; ///< Guards all members below.
+    std::vector<std::string> entries; ///< Entries listed by the directory.
+    std::int64_t validUntilMs = 0; ///< Time of the next query, in milliseconds of the steady clock.
 };
 
 } // namespace Chestnuthook
--- a/src/load/load_fault_func.cpp
+++ b/src/load/load_fault_func.cpp
@@ -1,4 +1,4 @@
-/** @file load_fault_func.cpp  Schedules of faults. */
+/** @file load_fault_func.cpp  Parses fault schedules and injects faults. */
 #include "load/load_fault_func.h"
 
 #include <algorithm>
@@ -30,21 +30,21 @@
         return row.first == rest;
     });
     const bool isSignal = verb == "signal" && signal != Signals.end();
-    const bool isOrder = verb == "fault" && rest.starts_with("{") && rest.ends_with("}");
-    if (seconds < 0 || fault.process.empty() || (!isSignal && !isOrder)) {
+    const bool isFakeFault = verb == "fault" && rest.starts_with("{") && rest.ends_with("}");
+    if (seconds < 0 || fault.process.empty() || (!isSignal && !isFakeFault)) {
         return fail(ErrorKind::BadRequest,
             "line " + std::to_string(number)
                 + ": write SECONDS fault NAME JSON, or SECONDS signal NAME KILL, TERM, STOP or CONT");
     }
     fault.atMs = static_cast<std::int64_t>(seconds * MsPerSecond);
     fault.signal = isSignal ? signal->second : 0;
-    fault.order = isOrder ? rest : "";
+    fault.fakeFault = isFakeFault ? rest : "";
     return fault;
 }
 
 } // namespace
 
-Result<std::vector<LoadFault>> parseFaults(const std::string &text)
+Result<std::vector<LoadFault>> parseFaultSchedule(const std::string &text)
 {
     std::vector<LoadFault> faults;
     std::istringstream lines(text);
@@ -65,7 +65,7 @@
     return faults;
 }
 
-std::string carryOut(const LoadFault &fault, const LoadTarget &target)
+std::string injectFault(const LoadFault &fault, const LoadTarget &target)
 {
     const std::string at = std::to_string(fault.atMs) + " ms: ";
     if (fault.signal == 0) {
@@ -73,8 +73,8 @@
         if (address == target.addresses.end()) {
             return at + "no stand-in " + fault.process;
         }
-        const LoadAnswer answer = sendRequest(address->second, "", "POST", "/fake/fault", fault.order);
-        return at + fault.process + " was given " + fault.order + ", status " + std::to_string(answer.status);
+        const LoadResponse answer = sendRequest(address->second, "", "POST", "/fake/fault", fault.fakeFault);
+        return at + fault.process + " was given " + fault.fakeFault + ", status " + std::to_string(answer.status);
     }
     const auto pid = target.pids.find(fault.process);
     if (pid == target.pids.end() || ::kill(pid->second, fault.signal) != 0) {
--- a/src/load/load_fault_func.h
+++ b/src/load/load_fault_func.h
@@ -1,4 +1,4 @@
-/** @file load_fault_func.h  Faults on a schedule: orders to stand-ins and signals to processes of the fleet. */
+/** @file load_fault_func.h  Scheduled fault injection: faults of the fake servers and signals to processes. */
 #pragma once
 
 #include <cstdint>
@@ -11,19 +11,20 @@
 namespace Chestnuthook
 {
 
-/** One line of a schedule: `SECONDS fault NAME JSON` or `SECONDS signal NAME KILL|TERM|STOP|CONT`. */
+/** One line of a fault schedule: `SECONDS fault NAME JSON` or `SECONDS signal NAME KILL|TERM|STOP|CONT`. */
 struct LoadFault
 {
-    std::int64_t atMs = 0; ///< From the run's start.
-    std::string process; ///< As in the fleet's pids, such as entry-2.
-    int signal = 0; ///< 0 for an order to a stand-in.
-    std::string order; ///< JSON for POST /fake/fault.
+    std::int64_t atMs = 0; ///< Time in milliseconds from the start of the run.
+    std::string process; ///< Name of a process, for example `entry-2`.
+    int signal = 0; ///< Signal to send; 0 for a fault of a fake server.
+    std::string fakeFault; ///< JSON body for POST /fake/fault.
 };
 
-/** Reads a schedule; empty lines and those that begin with # are skipped. Errors: BadRequest with the line's number. */
-[[nodiscard]] Result<std::vector<LoadFault>> parseFaults(const std::string &text);
+/** Parses a schedule and sorts it by time. Empty lines and lines that start with # are skipped. Errors: BadRequest with
+ * the number of the line. */
+[[nodiscard]] Result<std::vector<LoadFault>> parseFaultSchedule(const std::string &text);
 
-/** Carries out one. @return what was done, for the report. */
-[[nodiscard]] std::string carryOut(const LoadFault &fault, const LoadTarget &target);
+/** Injects @p fault. @return a description of what was done, for the report. */
+[[nodiscard]] std::string injectFault(const LoadFault &fault, const LoadTarget &target);
 
 } // namespace Chestnuthook
--- a/src/load/load_ledger_func.cpp
+++ b/src/load/load_ledger_func.cpp
@@ -1,4 +1,4 @@
-/** @file load_ledger_func.cpp  Reads ledgers. */
+/** @file load_ledger_func.cpp  Fetches and evaluates the ledgers of the fakes. */
 #include "load/load_ledger_func.h"
 
 #include <algorithm>
@@ -15,7 +15,7 @@
 namespace
 {
 
-/** The marker in a query, or an empty text. */
+/** The parameter `marker` of a query; empty if there is none. */
 std::string markerOf(const std::string &query)
 {
     constexpr std::string_view Name = "marker=";
@@ -57,35 +57,35 @@
     return all;
 }
 
-void checkTools(const std::vector<LedgerRequest> &services, LoadRecord &record)
+void checkToolCalls(const std::vector<LedgerRequest> &services, LoadRecord &record)
 {
     std::map<std::string, std::vector<const LedgerRequest *>> byMarker;
     for (const LedgerRequest &request : services) {
-        // A service that refused a request did nothing; all else may have had its effect.
+        // A refused request had no effect; a request with any other outcome may have had one.
         if (request.outcome != "refused") {
             byMarker[markerOf(request.query)].push_back(&request);
         }
     }
-    const std::vector<SentTool> tools = record.tools;
-    for (const SentTool &tool : tools) {
+    const std::vector<SentToolCall> tools = record.tools;
+    for (const SentToolCall &tool : tools) {
         const auto &seen = byMarker[tool.marker];
         if (!tool.idempotent) {
-            record.check(LoadPromise::AtMostOnce, seen.size() <= 1,
+            record.check(LoadGuarantee::AtMostOnce, seen.size() <= 1,
                 tool.marker + " reached services " + std::to_string(seen.size()) + " times");
         }
         if (tool.refused) {
-            record.check(LoadPromise::NotRunIsTrue, seen.empty(), tool.marker + " was said not to have run");
+            record.check(LoadGuarantee::NotRunIsAccurate, seen.empty(), tool.marker + " was said not to have run");
         }
         if (!tool.digest.empty()) {
             const bool own = std::any_of(seen.begin(), seen.end(), [&](const LedgerRequest *request) {
                 return request->digest == tool.digest;
             });
-            record.check(LoadPromise::WholeOwnAnswer, own, tool.marker + " got another request's answer");
+            record.check(LoadGuarantee::CompleteOwnResponse, own, tool.marker + " got another request's answer");
         }
     }
 }
 
-CacheUse cacheUse(std::vector<LedgerRequest> engines)
+CacheUse computeCacheUse(std::vector<LedgerRequest> engines)
 {
     std::stable_sort(engines.begin(), engines.end(), [](const LedgerRequest &left, const LedgerRequest &right) {
         return left.startMs < right.startMs;
--- a/src/load/load_ledger_func.h
+++ b/src/load/load_ledger_func.h
@@ -1,4 +1,4 @@
-/** @file load_ledger_func.h  What really reached the stand-ins, held against what the callers were told. */
+/** @file load_ledger_func.h  Compares the requests that the fakes received with the responses that clients received. */
 #pragma once
 
 #include <cstdint>
@@ -11,35 +11,35 @@
 namespace Chestnuthook
 {
 
-/** Use of the engines' caches, from their ledgers. */
+/** Use of the prefix caches of the engines, from their ledgers. */
 struct CacheUse
 {
-    std::uint64_t prompt = 0; ///< Tokens of all prompts.
-    std::uint64_t cachedOnce = 0; ///< Tokens of prompts that an engine had cached for the program before.
-    std::uint64_t recomputed = 0; ///< Of these, those that were computed again.
+    std::uint64_t prompt = 0; ///< Number of tokens in all prompts.
+    std::uint64_t cachedOnce = 0; ///< Number of those that an earlier call of the program had put into a cache.
+    std::uint64_t recomputed = 0; ///< Number of the cachedOnce tokens that were computed again.
 };
 
-/** One request in a ledger. */
+/** A request in the ledger of a fake. */
 struct LedgerRequest
 {
-    std::string program; ///< As the engine was told.
-    std::string query; ///< Of the path.
-    std::string digest; ///< Of the body.
-    std::string outcome; ///< running, ok, cancelled, fault, refused.
-    std::string note; ///< Of an engine: prompt and cached tokens.
-    std::int64_t startMs = 0; ///< Wall time.
+    std::string program; ///< Program id, from header X-Program-Id.
+    std::string query; ///< Query of the URL.
+    std::string digest; ///< Hash of the body.
+    std::string outcome; ///< `running`, `ok`, `cancelled`, `fault` or `refused`.
+    std::string note; ///< Details; for an engine the numbers of prompt tokens and cached tokens.
+    std::int64_t startMs = 0; ///< Time of arrival; Unix time in milliseconds.
 };
 
-/** Reads the ledger JSON of a stand-in. @return what it holds; empty where it isn't one. */
+/** Parses the ledger JSON of a fake. @return its requests; empty if it is not valid. */
 [[nodiscard]] std::vector<LedgerRequest> parseLedger(const std::string &json);
 
-/** Ledgers of all stand-ins at @p addresses. */
+/** Fetches the ledgers of all fakes at @p addresses. */
 [[nodiscard]] std::vector<LedgerRequest> readLedgers(const std::vector<std::string> &addresses);
 
-/** Checks the tool calls of @p record against the services' ledgers. */
-void checkTools(const std::vector<LedgerRequest> &services, LoadRecord &record);
+/** Checks the tool calls of @p record against the ledgers of the services. */
+void checkToolCalls(const std::vector<LedgerRequest> &services, LoadRecord &record);
 
-/** Adds up the cache use of programs. */
-[[nodiscard]] CacheUse cacheUse(std::vector<LedgerRequest> engines);
+/** Sums up the cache use of all programs. */
+[[nodiscard]] CacheUse computeCacheUse(std::vector<LedgerRequest> engines);
 
 } // namespace Chestnuthook
--- a/src/load/load_mix_func.cpp
+++ b/src/load/load_mix_func.cpp
@@ -1,4 +1,4 @@
-/** @file load_mix_func.cpp  Plans the programs of a run. */
+/** @file load_mix_func.cpp  Generates the workload of a run. */
 #include <algorithm>
 #include <array>
 #include <cmath>
@@ -14,8 +14,8 @@
 
 constexpr std::array<LoadMix, 2> Mixes{{
     {.name = "kortagatt",
-        .leastTurns = 4,
-        .mostTurns = 40,
+        .minTurns = 4,
+        .maxTurns = 40,
         .meanThinkMs = 20'000,
         .meanToolMs = 3000,
         .meanWords = 60,
@@ -27,8 +27,8 @@
         .streamShare = 0.8,
         .tightBudgetShare = 0.1},
     {.name = "derwent",
-        .leastTurns = 2,
-        .mostTurns = 12,
+        .minTurns = 2,
+        .maxTurns = 12,
         .meanThinkMs = 5000,
         .meanToolMs = 1500,
         .meanWords = 25,
@@ -45,11 +45,11 @@
 constexpr double LargeTenantWeight = 4;
 constexpr std::size_t TenantsPerLargeOne = 3;
 
-/** Draws that are the same with every standard library. */
-class Draw
+/** Random numbers that are the same with every standard library, unlike the distributions of <random>. */
+class RandomGenerator
 {
 public:
-    explicit Draw(std::uint64_t seed)
+    explicit RandomGenerator(std::uint64_t seed)
         : generator(seed)
     {
     }
@@ -70,30 +70,30 @@
     std::mt19937_64 generator; ///< Its sequence is fixed by the standard.
 };
 
-void addTurn(LoadProgram &program, const LoadMix &mix, const LoadArrivals &arrivals, Draw &draw)
+void addTurn(LoadProgram &program, const LoadMix &mix, const LoadArrivals &arrivals, RandomGenerator &rng)
 {
     LoadStep model{.kind = LoadStepKind::Model};
-    model.words = 1 + static_cast<std::uint32_t>(draw.exponential(mix.meanWords));
+    model.words = 1 + static_cast<std::uint32_t>(rng.exponential(mix.meanWords));
     model.maxTokens = mix.maxTokens;
-    model.stream = draw.chance(mix.streamShare);
+    model.stream = rng.chance(mix.streamShare);
     program.steps.push_back(model);
-    if (draw.chance(mix.toolShare)) {
+    if (rng.chance(mix.toolShare)) {
         LoadStep tool{.kind = LoadStepKind::Tool};
-        tool.ms = static_cast<std::int64_t>(draw.exponential(static_cast<double>(mix.meanToolMs)) * arrivals.timeScale);
-        tool.idempotent = draw.chance(mix.idempotentShare);
-        tool.resend = !tool.idempotent && draw.chance(mix.resendShare);
+        tool.ms = static_cast<std::int64_t>(rng.exponential(static_cast<double>(mix.meanToolMs)) * arrivals.timeScale);
+        tool.idempotent = rng.chance(mix.idempotentShare);
+        tool.resend = !tool.idempotent && rng.chance(mix.resendShare);
         program.steps.push_back(tool);
     }
-    if (draw.chance(mix.subAgentShare)) {
+    if (rng.chance(mix.subAgentShare)) {
         LoadStep agent{.kind = LoadStepKind::SubAgent};
-        agent.turns = 1 + static_cast<std::uint32_t>(draw.uniform() * SubAgentTurns);
+        agent.turns = 1 + static_cast<std::uint32_t>(rng.uniform() * SubAgentTurns);
         program.steps.push_back(agent);
     }
-    const double think = draw.exponential(static_cast<double>(mix.meanThinkMs)) * arrivals.timeScale;
+    const double think = rng.exponential(static_cast<double>(mix.meanThinkMs)) * arrivals.timeScale;
     program.steps.push_back(LoadStep{.kind = LoadStepKind::Think, .ms = static_cast<std::int64_t>(think)});
 }
 
-std::uint32_t callsOf(const LoadProgram &program)
+std::uint32_t countCalls(const LoadProgram &program)
 {
     return static_cast<std::uint32_t>(
         std::count_if(program.steps.begin(), program.steps.end(), [](const LoadStep &step) {
@@ -101,7 +101,7 @@
         }));
 }
 
-std::size_t drawTenant(const LoadArrivals &arrivals, Draw &draw)
+std::size_t drawTenant(const LoadArrivals &arrivals, RandomGenerator &rng)
 {
     std::vector<double> weights(arrivals.tenants, 1);
     for (std::size_t i = 0; i < (arrivals.tenants + TenantsPerLargeOne - 1) / TenantsPerLargeOne; ++i) {
@@ -112,7 +112,7 @@
     for (const double weight : weights) {
         total += weight;
     }
-    double at = draw.uniform() * total;
+    double at = rng.uniform() * total;
     std::size_t tenant = 0;
     while (tenant + 1 < weights.size() && at >= weights[tenant]) {
         at -= weights[tenant++];
@@ -130,27 +130,27 @@
     return found == Mixes.end() ? nullptr : found;
 }
 
-std::vector<LoadProgram> planLoad(const LoadMix &mix, const LoadArrivals &arrivals)
+std::vector<LoadProgram> planWorkload(const LoadMix &mix, const LoadArrivals &arrivals)
 {
-    Draw draw(arrivals.seed);
+    RandomGenerator rng(arrivals.seed);
     std::vector<LoadProgram> programs;
     double now = 0;
     while (programs.size() < arrivals.programs) {
-        now += draw.exponential(1000 / arrivals.programsPerSecond);
+        now += rng.exponential(1000 / arrivals.programsPerSecond);
         if (now > static_cast<double>(arrivals.durationMs)) {
             break;
         }
         LoadProgram program;
         program.number = programs.size();
         program.arrivalMs = static_cast<std::int64_t>(now);
-        program.tenant = drawTenant(arrivals, draw);
-        const double spread = (mix.mostTurns - mix.leastTurns) / 4.0;
-        const auto turns = mix.leastTurns + static_cast<std::uint32_t>(draw.exponential(spread));
-        for (std::uint32_t turn = 0; turn < std::min(turns, mix.mostTurns); ++turn) {
-            addTurn(program, mix, arrivals, draw);
+        program.tenant = drawTenant(arrivals, rng);
+        const double spread = (mix.maxTurns - mix.minTurns) / 4.0;
+        const auto turns = mix.minTurns + static_cast<std::uint32_t>(rng.exponential(spread));
+        for (std::uint32_t turn = 0; turn < std::min(turns, mix.maxTurns); ++turn) {
+            addTurn(program, mix, arrivals, rng);
         }
-        const std::uint32_t calls = callsOf(program);
-        program.callBudget = draw.chance(mix.tightBudgetShare) ? std::max(1U, calls / 2) : calls;
+        const std::uint32_t calls = countCalls(program);
+        program.callBudget = rng.chance(mix.tightBudgetShare) ? std::max(1U, calls / 2) : calls;
         programs.push_back(std::move(program));
     }
     return programs;
--- a/src/load/load_mix_type.h
+++ b/src/load/load_mix_type.h
@@ -1,5 +1,5 @@
-/** @file load_mix_type.h  What the load tool sends: programs as steps, made from a seed so that two runs ask the same.
- */
+/** @file load_mix_type.h  Workload of the load tool: programs and their steps, generated from a seed so that runs with
+ * the same seed send the same requests. */
 #pragma once
 
 #include <cstdint>
@@ -10,65 +10,66 @@
 namespace Chestnuthook
 {
 
+/** Kinds of steps: a pause, a model call, a tool call, or a sub-agent with its own program. */
 enum class LoadStepKind : std::uint8_t { Think, Model, Tool, SubAgent };
 
 /** One step of a program. */
 struct LoadStep
 {
-    LoadStepKind kind = LoadStepKind::Think; ///< What is done.
-    std::int64_t ms = 0; ///< Think: pause of the caller. Tool: how long the service takes.
-    std::uint32_t words = 0; ///< Model: words of the new message.
-    std::uint32_t maxTokens = 0; ///< Model: bound of the answer.
-    bool stream = false; ///< Model: as server-sent events.
-    bool idempotent = false; ///< Tool: may run twice.
-    bool resend = false; ///< Tool: sent again after its answer.
-    std::uint32_t turns = 0; ///< SubAgent: its model calls.
+    LoadStepKind kind = LoadStepKind::Think; ///< Kind of step.
+    std::int64_t ms = 0; ///< Think: length of the pause. Tool: delay of the service. In milliseconds.
+    std::uint32_t words = 0; ///< Model: number of words in the new message.
+    std::uint32_t maxTokens = 0; ///< Model: maximum number of tokens in the completion.
+    bool stream = false; ///< Model: request the completion as server-sent events.
+    bool idempotent = false; ///< Tool: the call is declared idempotent, so it may run more than once.
+    bool resend = false; ///< Tool: send the call again after its response.
+    std::uint32_t turns = 0; ///< SubAgent: number of its model calls.
 };
 
-/** A whole program. */
+/** The plan of a program. */
 struct LoadProgram
 {
-    std::uint64_t number = 0; ///< In the run, from 0.
-    std::size_t tenant = 0; ///< Index into the run's tenants.
-    std::int64_t arrivalMs = 0; ///< From the run's start.
-    std::uint32_t callBudget = 0; ///< Calls it may make; steps past it must be refused.
-    std::vector<LoadStep> steps; ///< In order.
+    std::uint64_t number = 0; ///< Number in the run, from 0.
+    std::size_t tenant = 0; ///< Index of its customer in LoadTarget::tenants.
+    std::int64_t arrivalMs = 0; ///< Arrival time in milliseconds from the start of the run.
+    std::uint32_t callBudget = 0; ///< Maximum number of calls; further calls must be rejected.
+    std::vector<LoadStep> steps; ///< Steps in their order.
 };
 
-/** The shape of a deployment's programs. */
+/** Parameters of the programs of a deployment. */
 struct LoadMix
 {
-    std::string_view name; ///< Deployment.
-    std::uint32_t leastTurns; ///< Model calls of a program.
-    std::uint32_t mostTurns; ///< Most programs are far below.
-    std::int64_t meanThinkMs; ///< Between a person's turns.
-    std::int64_t meanToolMs; ///< Of one tool call.
-    std::uint32_t meanWords; ///< Of a new message.
-    std::uint32_t maxTokens; ///< Of an answer.
-    double toolShare; ///< Turns followed by a tool call.
-    double idempotentShare; ///< Of tool calls.
-    double resendShare; ///< Of non-idempotent tool calls.
-    double subAgentShare; ///< Turns followed by a sub-agent.
-    double streamShare; ///< Of model calls.
-    double tightBudgetShare; ///< Programs whose budget ends before their steps.
+    std::string_view name; ///< Name of the deployment.
+    std::uint32_t minTurns; ///< Minimum number of model calls of a program.
+    std::uint32_t maxTurns; ///< Maximum number of model calls; most programs have far fewer.
+    std::int64_t meanThinkMs; ///< Mean pause between two turns, in milliseconds.
+    std::int64_t meanToolMs; ///< Mean duration of a tool call, in milliseconds.
+    std::uint32_t meanWords; ///< Mean number of words in a new message.
+    std::uint32_t maxTokens; ///< Maximum number of tokens in a completion.
+    double toolShare; ///< Share of turns followed by a tool call.
+    double idempotentShare; ///< Share of tool calls that are idempotent.
+    double resendShare; ///< Share of the other tool calls that are sent again after their response.
+    double subAgentShare; ///< Share of turns followed by a sub-agent.
+    double streamShare; ///< Share of model calls that are streamed.
+    double tightBudgetShare; ///< Share of programs whose budget is too small for their calls.
 };
 
-/** How a run's programs arrive. */
+/** Parameters of the arrivals of a run. */
 struct LoadArrivals
 {
-    std::uint64_t seed = 1; ///< Of everything random.
-    double programsPerSecond = 5; ///< Open loop: arrivals don't wait for answers.
-    std::uint64_t programs = 100; ///< At most so many.
-    std::int64_t durationMs = 20'000; ///< No arrivals after it.
-    double timeScale = 0.05; ///< Factor on thinking and tool time, for small stand-ins.
-    std::size_t tenants = 1; ///< How many there are; the first ones are large.
-    double greedyFactor = 1; ///< Factor on the arrivals of the first tenant.
+    std::uint64_t seed = 1; ///< Seed of all random numbers.
+    double programsPerSecond = 5; ///< Mean arrival rate. Open loop: arrivals do not wait for responses.
+    std::uint64_t programs = 100; ///< Maximum number of programs.
+    std::int64_t durationMs = 20'000; ///< Time in which programs arrive, in milliseconds.
+    double timeScale = 0.05; ///< Factor applied to pauses and tool durations, for small fakes.
+    std::size_t tenants = 1; ///< Number of customers; the first third of them is large.
+    double greedyFactor = 1; ///< Factor applied to the weight of the first customer.
 };
 
-/** The mix of @p deployment, or null. */
+/** The mix of @p deployment, or null if there is none. */
 [[nodiscard]] const LoadMix *findLoadMix(std::string_view deployment);
 
-/** All programs of a run, in the order of their arrival. */
-[[nodiscard]] std::vector<LoadProgram> planLoad(const LoadMix &mix, const LoadArrivals &arrivals);
+/** Plans all programs of a run, in the order of their arrival. */
+[[nodiscard]] std::vector<LoadProgram> planWorkload(const LoadMix &mix, const LoadArrivals &arrivals);
 
 } // namespace Chestnuthook
--- a/src/load/load_program_base.cpp
+++ b/src/load/load_program_base.cpp
@@ -1,4 +1,4 @@
-/** @file load_program_base.cpp  A caller's steps, retries and checks. */
+/** @file load_program_base.cpp  Steps, retries and checks of one program. */
 #include "load/load_program_base.h"
 
 #include <algorithm>
@@ -17,9 +17,9 @@
 namespace
 {
 
-constexpr unsigned MaxTries = 40;
-constexpr std::int64_t RetryMs = 150;
-constexpr std::int64_t MaxRetryMs = 2000;
+constexpr unsigned MaxAttempts = 40;
+constexpr std::int64_t MinRetryDelayMs = 150;
+constexpr std::int64_t MaxRetryDelayMs = 2000;
 constexpr std::uint64_t GrantedTokens = 1'000'000;
 constexpr int StatusOk = 200;
 constexpr int StatusCreated = 201;
@@ -39,8 +39,8 @@
     }
 }
 
-/** Whether another try may help and can do no harm: a resend of the same call number never runs it twice. */
-bool mayTryAgain(const LoadAnswer &answer)
+/** Whether a retry may succeed. A retry is safe, since the same call number never runs twice. */
+bool isRetryable(const LoadResponse &answer)
 {
     const bool refused = answer.status == StatusRate || answer.status == StatusNotReady;
     return answer.status == 0 || refused || answer.code == "endpoint_failed" || answer.code == "stale_epoch";
@@ -48,7 +48,7 @@
 
 } // namespace
 
-LoadProgramRunner::LoadProgramRunner(LoadRun &run, const LoadProgram &plan)
+LoadProgramRunner::LoadProgramRunner(LoadRunContext &run, const LoadProgram &plan)
     : shared(run)
     , plan(plan)
 {
@@ -69,7 +69,7 @@
         if (this->shared.stopped || !this->step(step)) {
             break;
         }
-        if (this->spent) {
+        if (this->budgetSpent) {
             break;
         }
     }
@@ -77,7 +77,7 @@
         this->checkHistory();
     }
     const bool finished = !this->failed && !this->shared.stopped;
-    this->persist("DELETE", "/v1/programs/" + this->id, "");
+    this->sendWithRetries("DELETE", "/v1/programs/" + this->id, "");
     return finished;
 }
 
@@ -86,10 +86,10 @@
     const std::string body = R"({"budget":{"calls":)" + std::to_string(calls) + R"(,"tokens":)"
         + std::to_string(GrantedTokens) + R"(,"seconds":3600})"
         + (parent.empty() ? "" : R"(,"parent":)" + jsonQuoted(parent)) + "}";
-    const LoadAnswer created = this->persist("POST", "/v1/programs", body);
+    const LoadResponse created = this->sendWithRetries("POST", "/v1/programs", body);
     this->id = created.status == StatusCreated ? fieldOf(created.body, "id") : "";
     this->budget = calls;
-    this->mostBudget = calls;
+    this->maxBudget = calls;
     this->failed = this->id.empty();
     if (this->failed) {
         this->shared.record.addAbandoned(this->plan.tenant, created.code.empty() ? "no_answer" : created.code);
@@ -113,48 +113,49 @@
     return false;
 }
 
-LoadAnswer LoadProgramRunner::persist(const std::string &method, const std::string &path, const std::string &body)
+LoadResponse LoadProgramRunner::sendWithRetries(
+    const std::string &method, const std::string &path, const std::string &body)
 {
-    const auto began = Clock::now();
-    LoadAnswer answer;
-    for (unsigned attempt = 0; attempt < MaxTries; ++attempt) {
+    const auto start = Clock::now();
+    LoadResponse answer;
+    for (unsigned attempt = 0; attempt < MaxAttempts; ++attempt) {
         const std::string entry = this->shared.directory.choose(this->plan.number, attempt);
         answer = sendRequest(entry, this->key(), method, path, body);
         const bool refused = answer.status == StatusRate || answer.status == StatusNotReady;
         if (refused) {
             this->shared.record.addRefusal(this->plan.tenant);
         }
-        if (!mayTryAgain(answer)) {
+        if (!isRetryable(answer)) {
             break;
         }
-        const std::int64_t pause = std::clamp(answer.retryAfterMs, RetryMs, MaxRetryMs);
+        const std::int64_t pause = std::clamp(answer.retryAfterMs, MinRetryDelayMs, MaxRetryDelayMs);
         std::this_thread::sleep_for(std::chrono::milliseconds(pause));
     }
-    const std::chrono::duration<double> took = Clock::now() - began;
-    this->busy += took.count();
+    const std::chrono::duration<double> took = Clock::now() - start;
+    this->requestSeconds += took.count();
     if (answer.status == StatusOk && method == "POST") {
         this->shared.record.addCall(this->plan.tenant, took.count());
     }
     return answer;
 }
 
-LoadAnswer LoadProgramRunner::call(const std::string &body)
+LoadResponse LoadProgramRunner::call(const std::string &body)
 {
-    return this->persist("POST", "/v1/programs/" + this->id + "/calls/" + std::to_string(this->next), body);
+    return this->sendWithRetries("POST", "/v1/programs/" + this->id + "/calls/" + std::to_string(this->next), body);
 }
 
-/** Takes the last word on a call. @return whether the program goes on. */
-bool LoadProgramRunner::take(const LoadAnswer &answer)
+/** Evaluates the final response to a call. @return whether the program goes on. */
+bool LoadProgramRunner::handleResponse(const LoadResponse &answer)
 {
     if (answer.status == StatusOk) {
         this->next += 1;
         return true;
     }
     if (answer.status == StatusBudget) {
-        this->shared.record.check(LoadPromise::Budget, this->next > this->budget,
+        this->shared.record.check(LoadGuarantee::Budget, this->next > this->budget,
             "program " + this->id + " was refused call " + std::to_string(this->next) + " of "
                 + std::to_string(this->budget));
-        this->spent = true;
+        this->budgetSpent = true;
         return false;
     }
     this->failed = true;
@@ -176,14 +177,14 @@
         content += " word" + std::to_string(word);
     }
     const std::string body = this->modelBody(step, content);
-    const bool past = this->next > this->mostBudget;
-    const LoadAnswer answer = this->call(body);
+    const bool past = this->next > this->maxBudget;
+    const LoadResponse answer = this->call(body);
     if (past) {
-        this->shared.record.check(LoadPromise::Budget, answer.status != StatusOk,
+        this->shared.record.check(LoadGuarantee::Budget, answer.status != StatusOk,
             "program " + this->id + " ran call " + std::to_string(this->next) + " of "
-                + std::to_string(this->mostBudget));
+                + std::to_string(this->maxBudget));
     }
-    if (!this->take(answer)) {
+    if (!this->handleResponse(answer)) {
         return false;
     }
     this->chat.messages.push_back(FakeMessage{"user", content});
@@ -192,7 +193,7 @@
     for (const std::string &piece : generateFakeCompletion(this->chat).pieces) {
         expected += piece;
     }
-    this->shared.record.check(LoadPromise::WholeOwnAnswer, answer.text == expected,
+    this->shared.record.check(LoadGuarantee::CompleteOwnResponse, answer.text == expected,
         "call " + std::to_string(this->next - 1) + " of " + this->id + " got \"" + answer.text + "\" for \"" + expected
             + "\"");
     this->chat.messages.push_back(FakeMessage{"assistant", answer.text});
@@ -208,18 +209,18 @@
         + R"(","body":{"order":)" + jsonQuoted(marker) + R"(},"idempotent":)" + (step.idempotent ? "true" : "false")
         + "}";
     const std::uint32_t number = this->next;
-    const LoadAnswer answer = this->call(body);
-    SentTool sent{marker, answer.status == StatusOk ? fieldOf(answer.body, "digest") : "", step.idempotent, false};
+    const LoadResponse answer = this->call(body);
+    SentToolCall sent{marker, answer.status == StatusOk ? fieldOf(answer.body, "digest") : "", step.idempotent, false};
     sent.refused = answer.status != StatusOk && answer.ran == "no";
-    this->shared.record.addTool(std::move(sent));
-    if (!this->take(answer)) {
+    this->shared.record.addToolCall(std::move(sent));
+    if (!this->handleResponse(answer)) {
         return false;
     }
     this->answers.push_back(answer.body);
     if (step.resend) {
         this->next = number;
-        const LoadAnswer again = this->call(body);
-        this->shared.record.check(LoadPromise::SameAnswerOnResend,
+        const LoadResponse again = this->call(body);
+        this->shared.record.check(LoadGuarantee::SameResponseOnResend,
             again.status == StatusOk && again.body == answer.body, "tool call " + marker);
         this->next = number + 1;
     }
@@ -230,25 +231,25 @@
 {
     LoadProgramRunner child(this->shared, this->plan);
     if (this->next > this->budget) {
-        return true; // Nothing is left to carve the child's budget from.
+        return true; // No budget is left for the child.
     }
     const std::uint32_t calls = std::min(step.turns, this->budget - this->next + 1);
     if (!child.create(this->id, calls)) {
-        return true; // Counted as given up; the parent goes on.
+        return true; // Counted as abandoned; the parent goes on.
     }
     LoadStep turn{.kind = LoadStepKind::Model, .words = 5, .maxTokens = 20};
     for (std::uint32_t i = 0; i < calls && child.modelCall(turn); ++i) {
     }
     this->budget -= calls;
-    this->mostBudget -= child.next - 1; // What the child left may have come back.
-    this->busy += child.busy;
-    child.persist("DELETE", "/v1/programs/" + child.id, "");
+    this->maxBudget -= child.next - 1; // The child returns what it did not use.
+    this->requestSeconds += child.requestSeconds;
+    child.sendWithRetries("DELETE", "/v1/programs/" + child.id, "");
     return true;
 }
 
 void LoadProgramRunner::checkHistory()
 {
-    const LoadAnswer shown = this->persist("GET", "/v1/programs/" + this->id, "");
+    const LoadResponse shown = this->sendWithRetries("GET", "/v1/programs/" + this->id, "");
     if (shown.status != StatusOk) {
         return;
     }
@@ -264,7 +265,7 @@
     } catch (const std::exception &) {
         held = false;
     }
-    this->shared.record.check(LoadPromise::Order, held,
+    this->shared.record.check(LoadGuarantee::Order, held,
         "program " + this->id + " shows other calls than the " + std::to_string(this->answers.size())
             + " that were answered");
 }
--- a/src/load/load_program_base.h
+++ b/src/load/load_program_base.h
@@ -1,4 +1,4 @@
-/** @file load_program_base.h  Runs one program as a careful caller would, and checks the promises as it goes. */
+/** @file load_program_base.h  Runs one program with retries and checks the guarantees on each response. */
 #pragma once
 
 #include <atomic>
@@ -13,29 +13,29 @@
 namespace Chestnuthook
 {
 
-/** What all programs of a run share. */
-struct LoadRun
+/** State shared by all programs of a run. */
+struct LoadRunContext
 {
-    const LoadTarget &target; ///< The fleet.
-    LoadDirectory &directory; ///< Which entry to use.
-    LoadRecord &record; ///< What is seen.
-    std::string name; ///< Names the run in markers, so that ledgers of several runs are told apart.
-    std::atomic<bool> &stopped; ///< The run's time is over: programs end at their next step.
+    const LoadTarget &target; ///< Fleet under load.
+    LoadDirectory &directory; ///< Chooses the entry for each request.
+    LoadRecord &record; ///< Collects the results.
+    std::string name; ///< Part of all markers, which tells the requests of several runs apart in a ledger.
+    std::atomic<bool> &stopped; ///< The time of the run is over: programs end before their next step.
 };
 
-/** One program; for one thread. */
+/** Runs one program; not thread-safe. */
 class LoadProgramRunner
 {
 public:
-    LoadProgramRunner(LoadRun &run, const LoadProgram &plan);
+    LoadProgramRunner(LoadRunContext &run, const LoadProgram &plan);
 
-    /** Runs it to its end. @return whether it came there. */
+    /** Runs the program. @return whether all its steps were done or its budget was spent. */
     bool run();
 
-    /** Time spent waiting for answers. */
-    [[nodiscard]] double busySeconds() const
+    /** Time spent on requests, including retries and the delays between them, in seconds. */
+    [[nodiscard]] double totalRequestSeconds() const
     {
-        return this->busy;
+        return this->requestSeconds;
     }
 
 private:
@@ -44,24 +44,24 @@
     bool modelCall(const LoadStep &step);
     bool toolCall(const LoadStep &step);
     bool subAgent(const LoadStep &step);
-    LoadAnswer call(const std::string &body);
-    LoadAnswer persist(const std::string &method, const std::string &path, const std::string &body);
-    bool take(const LoadAnswer &answer);
+    LoadResponse call(const std::string &body);
+    LoadResponse sendWithRetries(const std::string &method, const std::string &path, const std::string &body);
+    bool handleResponse(const LoadResponse &answer);
     void checkHistory();
     [[nodiscard]] std::string modelBody(const LoadStep &step, const std::string &content) const;
     [[nodiscard]] const std::string &key() const;
 
-    LoadRun &shared; ///< Of the run.
-    const LoadProgram &plan; ///< What to do.
-    std::string id; ///< Of the program.
+    LoadRunContext &shared; ///< State of the run.
+    const LoadProgram &plan; ///< Plan of the program.
+    std::string id; ///< Program id.
     std::uint32_t next = 1; ///< Number of the next call.
-    std::uint32_t budget = 0; ///< Calls that it may make in any case.
-    std::uint32_t mostBudget = 0; ///< Calls that it may make where sub-agents gave back what they left.
-    bool spent = false; ///< The budget has ended, as it should.
-    FakeChatRequest chat; ///< History as the model should see it; foretells the stand-in's answers.
-    std::vector<std::string> answers; ///< Text or body of each answered call.
-    bool failed = false; ///< A call was given up; the history's end is unknown.
-    double busy = 0; ///< Seconds of waiting for answers.
+    std::uint32_t budget = 0; ///< Number of calls that must not be rejected for the budget.
+    std::uint32_t maxBudget = 0; ///< Upper bound of the budget: sub-agents may have returned what they did not use.
+    bool budgetSpent = false; ///< A call was rejected because the budget is spent.
+    FakeChatRequest chat; ///< The expected history; predicts the completions of the fake engine.
+    std::vector<std::string> answers; ///< Completion text or tool response of each successful call.
+    bool failed = false; ///< A call was abandoned, so the end of the history is unknown.
+    double requestSeconds = 0; ///< Seconds spent on requests.
 };
 
 } // namespace Chestnuthook
--- a/src/load/load_record_base.cpp
+++ b/src/load/load_record_base.cpp
@@ -1,4 +1,4 @@
-/** @file load_record_base.cpp  Counting. */
+/** @file load_record_base.cpp  Collects the results of a run. */
 #include "load/load_record_base.h"
 
 #include <utility>
@@ -10,25 +10,25 @@
 {
 
 constexpr std::size_t MaxExamples = 20;
-constexpr std::array<const char *, LoadPromiseCount> PromiseNames{"answers whole and one's own",
+constexpr std::array<const char *, LoadGuaranteeCount> GuaranteeNames{"answers whole and one's own",
     "a resend gets the first answer", "calls in order, history whole", "non-idempotent calls run at most once",
     "\"not run\" is true", "the budget holds"};
 
 } // namespace
 
-std::string loadPromiseName(LoadPromise promise)
+std::string loadGuaranteeName(LoadGuarantee guarantee)
 {
-    return PromiseNames.at(static_cast<std::size_t>(promise));
+    return GuaranteeNames.at(static_cast<std::size_t>(guarantee));
 }
 
-void LoadRecord::check(LoadPromise promise, bool held, const std::string &what)
+void LoadRecord::check(LoadGuarantee guarantee, bool held, const std::string &what)
 {
     const std::scoped_lock lock(this->mutex);
-    this->checks.at(static_cast<std::size_t>(promise)) += 1;
+    this->checks.at(static_cast<std::size_t>(guarantee)) += 1;
     if (!held) {
-        this->broken.at(static_cast<std::size_t>(promise)) += 1;
+        this->broken.at(static_cast<std::size_t>(guarantee)) += 1;
         if (this->examples.size() < MaxExamples) {
-            this->examples.push_back(loadPromiseName(promise) + ": " + what);
+            this->examples.push_back(loadGuaranteeName(guarantee) + ": " + what);
         }
     }
 }
@@ -64,7 +64,7 @@
     this->abandonedCodes[code] += 1;
 }
 
-void LoadRecord::addTool(SentTool tool)
+void LoadRecord::addToolCall(SentToolCall tool)
 {
     const std::scoped_lock lock(this->mutex);
     this->tools.push_back(std::move(tool));
--- a/src/load/load_record_base.h
+++ b/src/load/load_record_base.h
@@ -1,4 +1,4 @@
-/** @file load_record_base.h  What a run saw: latencies, refusals, and each promise that did not hold. */
+/** @file load_record_base.h  Results of a run: latencies, refusals and violated guarantees. */
 #pragma once
 
 #include <array>
@@ -12,33 +12,40 @@
 namespace Chestnuthook
 {
 
-/** The promises that the tool checks. */
-enum class LoadPromise : std::uint8_t { WholeOwnAnswer, SameAnswerOnResend, Order, AtMostOnce, NotRunIsTrue, Budget };
-constexpr std::size_t LoadPromiseCount = 6;
+/** The guarantees of the system that the tool checks; reports call them promises. */
+enum class LoadGuarantee : std::uint8_t {
+    CompleteOwnResponse,
+    SameResponseOnResend,
+    Order,
+    AtMostOnce,
+    NotRunIsAccurate,
+    Budget
+};
+constexpr std::size_t LoadGuaranteeCount = 6;
 
-/** Name of @p promise, for reports. */
-[[nodiscard]] std::string loadPromiseName(LoadPromise promise);
+/** Name of a guarantee in reports. */
+[[nodiscard]] std::string loadGuaranteeName(LoadGuarantee guarantee);
 
-/** Counts of one tenant. */
+/** Counters of one customer. */
 struct TenantRecord
 {
-    std::uint64_t programs = 0; ///< Arrived.
-    std::uint64_t finished = 0; ///< Came to their end.
-    std::uint64_t calls = 0; ///< Answered in full.
-    std::uint64_t refusals = 0; ///< Answers 429 and 503, each time.
-    std::uint64_t abandoned = 0; ///< Calls given up after all tries.
+    std::uint64_t programs = 0; ///< Programs started.
+    std::uint64_t finished = 0; ///< Programs that finished.
+    std::uint64_t calls = 0; ///< POST requests answered with status 200.
+    std::uint64_t refusals = 0; ///< Responses with status 429 or 503, each retry counted.
+    std::uint64_t abandoned = 0; ///< Calls that failed for good.
 };
 
-/** A tool call that was sent, as the ledgers are searched for it. */
-struct SentTool
+/** A tool call that was sent, to be found in the ledgers. */
+struct SentToolCall
 {
-    std::string marker; ///< In its path.
-    std::string digest; ///< Of the body, as the service told it; empty where no answer came.
-    bool idempotent = false; ///< It may run twice.
-    bool refused = false; ///< The last word on it was that it did not run.
+    std::string marker; ///< Unique marker in its path.
+    std::string digest; ///< Hash of the body in the response of the service; empty if the call failed.
+    bool idempotent = false; ///< It may run more than once.
+    bool refused = false; ///< The final response says that it did not run.
 };
 
-/** Thread-safe while the run goes on. */
+/** Results of a run. The methods are thread-safe. */
 class LoadRecord
 {
 public:
@@ -47,24 +54,24 @@
     {
     }
 
-    /** Counts one check of @p promise; @p what says what was seen where it did not hold. */
-    void check(LoadPromise promise, bool held, const std::string &what);
+    /** Counts a check of @p guarantee; @p what describes the violation if it does not hold. */
+    void check(LoadGuarantee guarantee, bool held, const std::string &what);
     void addProgram(std::size_t tenant, bool finished, double seconds, std::int64_t arrivalMs);
     void addCall(std::size_t tenant, double seconds);
     void addRefusal(std::size_t tenant);
     void addAbandoned(std::size_t tenant, const std::string &code);
-    void addTool(SentTool tool);
+    void addToolCall(SentToolCall tool);
 
-    std::vector<TenantRecord> tenants; ///< By index.
-    std::vector<double> programSeconds; ///< Of finished programs, without thinking time.
-    std::vector<std::pair<double, double>> timeline; ///< Arrival and latency of each finished program, in seconds.
-    std::vector<double> callSeconds; ///< Of answered calls.
-    std::array<std::uint64_t, LoadPromiseCount> checks{}; ///< By promise.
-    std::array<std::uint64_t, LoadPromiseCount> broken{}; ///< By promise.
-    std::vector<std::string> examples; ///< First broken promises in words.
-    std::map<std::string, std::uint64_t> abandonedCodes; ///< Why calls were given up.
-    std::vector<SentTool> tools; ///< Tool calls.
-    std::mutex mutex; ///< Guards all above while the run goes on.
+    std::vector<TenantRecord> tenants; ///< By index of the customer.
+    std::vector<double> programSeconds; ///< Latency of each finished program in seconds, without its pauses.
+    std::vector<std::pair<double, double>> timeline; ///< Arrival time and latency of each finished program, in seconds.
+    std::vector<double> callSeconds; ///< Latency of each successful call in seconds.
+    std::array<std::uint64_t, LoadGuaranteeCount> checks{}; ///< Number of checks by guarantee.
+    std::array<std::uint64_t, LoadGuaranteeCount> broken{}; ///< Number of violations by guarantee.
+    std::vector<std::string> examples; ///< Descriptions of the first violations.
+    std::map<std::string, std::uint64_t> abandonedCodes; ///< Number of abandoned calls by error code.
+    std::vector<SentToolCall> tools; ///< All tool calls that were sent.
+    std::mutex mutex; ///< Guards all members above during the run.
 };
 
 } // namespace Chestnuthook
--- a/src/load/load_report_func.cpp
+++ b/src/load/load_report_func.cpp
@@ -1,4 +1,4 @@
-/** @file load_report_func.cpp  Writes reports. */
+/** @file load_report_func.cpp  Computes the measures and writes the report. */
 #include "load/load_report_func.h"
 
 #include <algorithm>
@@ -16,7 +16,7 @@
 namespace
 {
 
-constexpr double Percent95 = 0.95;
+constexpr double Quantile95 = 0.95;
 
 double meanOf(const std::vector<double> &values)
 {
@@ -33,7 +33,7 @@
     return values[std::min(at, values.size() - 1)];
 }
 
-double shareOf(std::uint64_t part, std::uint64_t whole)
+double ratioOf(std::uint64_t part, std::uint64_t whole)
 {
     return whole == 0 ? 0 : static_cast<double>(part) / static_cast<double>(whole);
 }
@@ -45,7 +45,7 @@
     return stream.str();
 }
 
-std::uint64_t brokenOf(const LoadRecord &record)
+std::uint64_t countViolations(const LoadRecord &record)
 {
     return std::accumulate(record.broken.begin(), record.broken.end(), std::uint64_t{0});
 }
@@ -68,11 +68,11 @@
     }
 }
 
-void writePromises(std::ostream &out, const LoadRecord &record)
+void writeGuarantees(std::ostream &out, const LoadRecord &record)
 {
     out << "\n## Promises\n\n| promise | checks | broken |\n| --- | --- | --- |\n";
-    for (std::size_t i = 0; i < LoadPromiseCount; ++i) {
-        out << "| " << loadPromiseName(static_cast<LoadPromise>(i)) << " | " << record.checks.at(i) << " | "
+    for (std::size_t i = 0; i < LoadGuaranteeCount; ++i) {
+        out << "| " << loadGuaranteeName(static_cast<LoadGuarantee>(i)) << " | " << record.checks.at(i) << " | "
             << record.broken.at(i) << " |\n";
     }
     for (const std::string &example : record.examples) {
@@ -120,13 +120,13 @@
     return stream;
 }
 
-void writeShares(const std::string &path, std::vector<double> values)
+void writeDistribution(const std::string &path, std::vector<double> values)
 {
     std::ofstream out = openFile(path);
     std::sort(values.begin(), values.end());
     out << "0 0\n";
     for (std::size_t i = 0; i < values.size(); ++i) {
-        out << values[i] << " " << shareOf(i + 1, values.size()) << "\n";
+        out << values[i] << " " << ratioOf(i + 1, values.size()) << "\n";
     }
 }
 
@@ -145,20 +145,20 @@
         finished += tenant.finished;
         calls += tenant.calls;
         refusals += tenant.refusals;
-        worst = tenant.programs == 0 ? worst : std::min(worst, shareOf(tenant.finished, tenant.programs));
+        worst = tenant.programs == 0 ? worst : std::min(worst, ratioOf(tenant.finished, tenant.programs));
     }
     measures["latency_mean_s"] = meanOf(record.programSeconds);
     measures["latency_p50_s"] = quantileOf(record.programSeconds, 0.5);
-    measures["latency_p95_s"] = quantileOf(record.programSeconds, Percent95);
-    measures["call_p95_s"] = quantileOf(record.callSeconds, Percent95);
-    measures["wasted_cache_share"] = shareOf(report.cache.recomputed, report.cache.cachedOnce);
+    measures["latency_p95_s"] = quantileOf(record.programSeconds, Quantile95);
+    measures["call_p95_s"] = quantileOf(record.callSeconds, Quantile95);
+    measures["wasted_cache_share"] = ratioOf(report.cache.recomputed, report.cache.cachedOnce);
     measures["worst_tenant_finished_share"] = worst;
-    measures["refusals_per_call"] = shareOf(refusals, calls);
+    measures["refusals_per_call"] = ratioOf(refusals, calls);
     measures["programs"] = static_cast<double>(programs);
     measures["programs_finished"] = static_cast<double>(finished);
-    measures["programs_not_started"] = static_cast<double>(report.notStarted);
+    measures["programs_not_started"] = static_cast<double>(report.droppedPrograms);
     measures["calls"] = static_cast<double>(calls);
-    measures["promises_broken"] = static_cast<double>(brokenOf(record));
+    measures["promises_broken"] = static_cast<double>(countViolations(record));
     return measures;
 }
 
@@ -173,7 +173,7 @@
            "again. Every 429 "
            "and 503 counts as a\nrefusal; whether it was inside the tenant's rate is for the reader who knows the "
            "declared rates.\n";
-    writePromises(out, record);
+    writeGuarantees(out, record);
     writeTenants(out, report, record);
     out << "\n## Faults\n\n";
     for (const std::string &fault : report.faults) {
@@ -196,8 +196,8 @@
     for (const auto &[name, value] : loadMeasures(report, record)) {
         measures << name << " " << value << "\n";
     }
-    writeShares(folder + "/latency.dat", record.programSeconds);
-    writeShares(folder + "/calls.dat", record.callSeconds);
+    writeDistribution(folder + "/latency.dat", record.programSeconds);
+    writeDistribution(folder + "/calls.dat", record.callSeconds);
     std::ofstream timeline = openFile(folder + "/timeline.dat");
     for (const auto &[arrival, seconds] : record.timeline) {
         timeline << arrival << " " << seconds << "\n";
@@ -205,8 +205,8 @@
     std::ofstream tenants = openFile(folder + "/tenants.dat");
     for (std::size_t i = 0; i < record.tenants.size(); ++i) {
         const TenantRecord &tenant = record.tenants[i];
-        tenants << report.tenantNames[i] << " " << shareOf(tenant.finished, tenant.programs) << " "
-                << shareOf(tenant.refusals, tenant.calls) << "\n";
+        tenants << report.tenantNames[i] << " " << ratioOf(tenant.finished, tenant.programs) << " "
+                << ratioOf(tenant.refusals, tenant.calls) << "\n";
     }
     openFile(folder + "/cache.dat") << "prompt " << report.cache.prompt << "\n\"cached once\" "
                                     << report.cache.cachedOnce << "\nrecomputed " << report.cache.recomputed << "\n";
--- a/src/load/load_runner_base.cpp
+++ b/src/load/load_runner_base.cpp
@@ -1,4 +1,4 @@
-/** @file load_runner_base.cpp  Starts programs when they arrive. */
+/** @file load_runner_base.cpp  Starts each program at its arrival time. */
 #include "load/load_runner_base.h"
 
 #include <chrono>
@@ -14,19 +14,19 @@
 
 using Clock = std::chrono::steady_clock;
 
-constexpr auto LookPeriod = std::chrono::milliseconds(20);
+constexpr auto PollInterval = std::chrono::milliseconds(20);
 
-std::int64_t msSince(Clock::time_point began)
+std::int64_t msSince(Clock::time_point start)
 {
-    return std::chrono::duration_cast<std::chrono::milliseconds>(Clock::now() - began).count();
+    return std::chrono::duration_cast<std::chrono::milliseconds>(Clock::now() - start).count();
 }
 
 } // namespace
 
-LoadRunner::LoadRunner(const LoadTarget &target, LoadRecord &record, LoadBounds bounds, std::string name)
+LoadRunner::LoadRunner(const LoadTarget &target, LoadRecord &record, LoadLimits limits, std::string name)
     : target(target)
     , record(record)
-    , bounds(bounds)
+    , limits(limits)
     , directory(target.entries)
     , name(std::move(name))
 {
@@ -35,39 +35,39 @@
 LoadReport LoadRunner::run(const std::vector<LoadProgram> &programs, const std::vector<LoadFault> &faults)
 {
     LoadReport report;
-    LoadRun shared{this->target, this->directory, this->record, this->name, this->stopped};
+    LoadRunContext shared{this->target, this->directory, this->record, this->name, this->stopped};
     std::vector<std::thread> threads;
-    const auto began = Clock::now();
+    const auto start = Clock::now();
     auto arrival = programs.begin();
     auto fault = faults.begin();
-    const std::int64_t end = this->bounds.durationMs + this->bounds.graceMs;
-    while (msSince(began) < end && (arrival != programs.end() || fault != faults.end() || this->running > 0)) {
-        const std::int64_t now = msSince(began);
+    const std::int64_t end = this->limits.durationMs + this->limits.graceMs;
+    while (msSince(start) < end && (arrival != programs.end() || fault != faults.end() || this->running > 0)) {
+        const std::int64_t now = msSince(start);
         for (; fault != faults.end() && fault->atMs <= now; ++fault) {
-            report.faults.push_back(carryOut(*fault, this->target));
+            report.faults.push_back(injectFault(*fault, this->target));
         }
         for (; arrival != programs.end() && arrival->arrivalMs <= now; ++arrival) {
-            if (this->running >= this->bounds.programsAtOnce) {
-                report.notStarted += 1;
+            if (this->running >= this->limits.maxRunningPrograms) {
+                report.droppedPrograms += 1;
                 continue;
             }
             this->running += 1;
             threads.emplace_back([this, &shared, plan = &*arrival]() {
                 LoadProgramRunner runner(shared, *plan);
                 const bool finished = runner.run();
-                this->record.addProgram(plan->tenant, finished, runner.busySeconds(), plan->arrivalMs);
+                this->record.addProgram(plan->tenant, finished, runner.totalRequestSeconds(), plan->arrivalMs);
                 this->running -= 1;
             });
         }
         this->showProgress(static_cast<std::size_t>(arrival - programs.begin()), programs.size());
-        std::this_thread::sleep_for(LookPeriod);
+        std::this_thread::sleep_for(PollInterval);
     }
     this->stopped = true;
     for (std::thread &thread : threads) {
         thread.join();
     }
-    report.seconds = static_cast<double>(msSince(began)) / 1000;
-    if (this->bounds.progress) {
+    report.seconds = static_cast<double>(msSince(start)) / 1000;
+    if (this->limits.progress) {
         std::cerr << "\n";
     }
     return report;
@@ -75,7 +75,7 @@
 
 void LoadRunner::showProgress(std::size_t arrived, std::size_t all)
 {
-    if (!this->bounds.progress) {
+    if (!this->limits.progress) {
         return;
     }
     const std::scoped_lock lock(this->record.mutex);
--- a/src/load/main.cpp
+++ b/src/load/main.cpp
@@ -1,5 +1,4 @@
-/** @file main.cpp  chestnuthook-load: sends the programs of a deployment to a running fleet and reports the measures.
- */
+/** @file main.cpp  chestnuthook-load: runs the workload of a deployment against a fleet and writes a report. */
 #include <cstdlib>
 #include <fstream>
 #include <iostream>
@@ -34,16 +33,16 @@
 
 using namespace Chestnuthook;
 
-constexpr std::int64_t Many = 1'000'000;
-constexpr int PromiseBroken = 6;
+constexpr std::int64_t MaxCount = 1'000'000;
+constexpr int GuaranteeViolatedExit = 6;
 
 const std::vector<SettingCheck> Settings = {
     {"fleet", "target", nonEmptyCheck(), "name the folder given to scripts/fleet start"},
     {"mix", "load", oneOfCheck({"kortagatt", "derwent"}), "say kortagatt or derwent"},
     {"rate", "load", positiveCheck(), "give programs a second above 0"},
-    {"programs", "load", rangeCheck(1, Many), "give a number of programs from 1"},
-    {"seconds", "load", rangeCheck(1, Many), "give seconds from 1"},
-    {"grace_seconds", "load", rangeCheck(0, Many), "give seconds"},
+    {"programs", "load", rangeCheck(1, MaxCount), "give a number of programs from 1"},
+    {"seconds", "load", rangeCheck(1, MaxCount), "give seconds from 1"},
+    {"grace_seconds", "load", rangeCheck(0, MaxCount), "give seconds"},
     {"at_once", "load", rangeCheck(1, 2000), "give a number from 1 to 2000; each program takes a thread"},
     {"seed", "load", rangeCheck(0, INT64_MAX), "give a whole number"},
     {"time_scale", "load", positiveCheck(), "give a factor above 0"},
@@ -53,7 +52,7 @@
     {"compare", "report", {}, "name the report folder of an earlier run"},
 };
 
-std::vector<LoadProgram> plannedPrograms(std::size_t tenants)
+std::vector<LoadProgram> planPrograms(std::size_t tenants)
 {
     LoadArrivals arrivals;
     arrivals.seed = static_cast<std::uint64_t>(FLAGS_seed);
@@ -63,10 +62,10 @@
     arrivals.timeScale = FLAGS_time_scale;
     arrivals.greedyFactor = FLAGS_greedy_factor;
     arrivals.tenants = tenants;
-    return planLoad(*findLoadMix(FLAGS_mix), arrivals);
+    return planWorkload(*findLoadMix(FLAGS_mix), arrivals);
 }
 
-Result<std::vector<LoadFault>> plannedFaults()
+Result<std::vector<LoadFault>> readFaultSchedule()
 {
     if (FLAGS_faults.empty()) {
         return std::vector<LoadFault>();
@@ -75,13 +74,13 @@
     if (!stream) {
         return fail(ErrorKind::BadRequest, "can't read " + FLAGS_faults);
     }
-    return parseFaults(std::string(std::istreambuf_iterator<char>(stream), {}));
+    return parseFaultSchedule(std::string(std::istreambuf_iterator<char>(stream), {}));
 }
 
 int runLoad(const std::string &command)
 {
     const LoadTarget target = readTarget(FLAGS_fleet);
-    const Result<std::vector<LoadFault>> faults = plannedFaults();
+    const Result<std::vector<LoadFault>> faults = readFaultSchedule();
     if (!faults) {
         std::cerr << errorText(faults.error()) << '\n';
         return errorRow(faults.error().kind).exitCode;
@@ -89,25 +88,25 @@
     const std::map<std::string, double> other =
         FLAGS_compare.empty() ? std::map<std::string, double>() : readMeasures(FLAGS_compare);
     LoadRecord record(target.tenants.size());
-    LoadBounds bounds;
-    bounds.durationMs = FLAGS_seconds * 1000;
-    bounds.graceMs = FLAGS_grace_seconds * 1000;
-    bounds.programsAtOnce = static_cast<std::size_t>(FLAGS_at_once);
-    bounds.progress = ::isatty(STDERR_FILENO) == 1;
+    LoadLimits limits;
+    limits.durationMs = FLAGS_seconds * 1000;
+    limits.graceMs = FLAGS_grace_seconds * 1000;
+    limits.maxRunningPrograms = static_cast<std::size_t>(FLAGS_at_once);
+    limits.progress = ::isatty(STDERR_FILENO) == 1;
     LoadReport report =
-        LoadRunner(target, record, bounds, randomHex(4)).run(plannedPrograms(target.tenants.size()), *faults);
+        LoadRunner(target, record, limits, randomHex(4)).run(planPrograms(target.tenants.size()), *faults);
     report.command = command;
     for (const auto &[name, key] : target.tenants) {
         report.tenantNames.push_back(name);
     }
-    checkTools(readLedgers(target.services), record);
-    report.cache = cacheUse(readLedgers(target.engines));
+    checkToolCalls(readLedgers(target.services), record);
+    report.cache = computeCacheUse(readLedgers(target.engines));
     writeReport(FLAGS_report, report, record, other);
     const auto measures = loadMeasures(report, record);
     for (const auto &[name, value] : measures) {
         std::cout << name << " " << value << "\n";
     }
-    return measures.at("promises_broken") > 0 ? PromiseBroken : EXIT_SUCCESS;
+    return measures.at("promises_broken") > 0 ? GuaranteeViolatedExit : EXIT_SUCCESS;
 }
 
 } // namespace
--- a/tests/process/load_test.cpp
+++ b/tests/process/load_test.cpp
@@ -1,4 +1,4 @@
-/** @file load_test.cpp  The load tool against a real fleet, with faults on a schedule. */
+/** @file load_test.cpp  Runs the load tool with a fault schedule against a real fleet. */
 #define BOOST_TEST_MODULE load_tool
 #include <fstream>
 #include <string>
@@ -22,7 +22,7 @@
     return text;
 }
 
-/** Writes what scripts/fleet leaves in its folder. */
+/** Writes the files fleet.env and pids as scripts/fleet does. */
 void writeFleetFolder(const ProcessFleet &fleet, const std::string &folder)
 {
     std::ofstream(folder + "/fleet.env") << "ENTRIES=" << joined(fleet.entryAddresses)
@@ -40,7 +40,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(a_run_with_faults_reports_measures_promises_and_what_was_done)
+BOOST_AUTO_TEST_CASE(a_run_reports_measures_guarantees_and_injected_faults)
 {
     FleetOptions size;
     size.entries = 2;
@@ -68,7 +68,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(a_folder_without_a_fleet_and_missing_settings_are_told_with_a_remedy)
+BOOST_AUTO_TEST_CASE(a_missing_fleet_or_setting_is_an_error_with_a_remedy)
 {
     const TemporaryFolder folder;
     const CommandResult none = runCommand("chestnuthook-load", {"--fleet=" + folder.path});
--- a/tests/unit/load_test.cpp
+++ b/tests/unit/load_test.cpp
@@ -1,4 +1,4 @@
-/** @file load_test.cpp  The load tool asks the same in each run of a seed, and its checks see broken promises. */
+/** @file load_test.cpp  Workloads are reproducible by seed, and the checks detect violated guarantees. */
 #define BOOST_TEST_MODULE load
 #include <csignal>
 
@@ -24,9 +24,9 @@
     return arrivals;
 }
 
-std::uint64_t brokenOf(const LoadRecord &record, LoadPromise promise)
+std::uint64_t countViolations(const LoadRecord &record, LoadGuarantee guarantee)
 {
-    return record.broken.at(static_cast<std::size_t>(promise));
+    return record.broken.at(static_cast<std::size_t>(guarantee));
 }
 
 LedgerRequest toolRequest(const std::string &marker, const std::string &digest, const std::string &outcome)
@@ -36,11 +36,11 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(a_seed_gives_one_plan_and_another_seed_another)
+BOOST_AUTO_TEST_CASE(a_workload_is_determined_by_its_seed)
 {
-    const auto first = planLoad(*findLoadMix("kortagatt"), someArrivals(1));
-    const auto again = planLoad(*findLoadMix("kortagatt"), someArrivals(1));
-    const auto other = planLoad(*findLoadMix("kortagatt"), someArrivals(2));
+    const auto first = planWorkload(*findLoadMix("kortagatt"), someArrivals(1));
+    const auto again = planWorkload(*findLoadMix("kortagatt"), someArrivals(1));
+    const auto other = planWorkload(*findLoadMix("kortagatt"), someArrivals(2));
     BOOST_REQUIRE(first.size() == again.size());
     std::size_t same = 0;
     std::size_t shared = 0;
@@ -53,9 +53,9 @@
     BOOST_TEST(findLoadMix("nowhere") == nullptr);
 }
 
-BOOST_AUTO_TEST_CASE(arrivals_keep_their_rate_whatever_the_answers_and_large_tenants_send_more)
+BOOST_AUTO_TEST_CASE(arrivals_keep_their_rate_and_large_customers_send_more)
 {
-    const auto programs = planLoad(*findLoadMix("derwent"), someArrivals(3));
+    const auto programs = planWorkload(*findLoadMix("derwent"), someArrivals(3));
     BOOST_TEST(programs.size() > 900U); // 20 s at 50 a second
     BOOST_TEST(programs.size() < 1100U);
     std::vector<std::size_t> byTenant(8);
@@ -66,52 +66,53 @@
     BOOST_TEST(byTenant[0] > 2 * byTenant[7]);
 }
 
-BOOST_AUTO_TEST_CASE(a_schedule_is_read_in_order_and_a_bad_line_is_named)
+BOOST_AUTO_TEST_CASE(a_fault_schedule_is_sorted_and_an_invalid_line_is_named)
 {
-    const auto faults = parseFaults("# rehearsal\n4.5 signal entry-2 KILL\n\n1 fault engine-1 {\"kind\":\"slow\"}\n");
+    const auto faults =
+        parseFaultSchedule("# rehearsal\n4.5 signal entry-2 KILL\n\n1 fault engine-1 {\"kind\":\"slow\"}\n");
     BOOST_REQUIRE(faults.has_value());
     BOOST_REQUIRE(faults->size() == 2U);
-    BOOST_TEST(faults->at(0).order == "{\"kind\":\"slow\"}");
+    BOOST_TEST(faults->at(0).fakeFault == "{\"kind\":\"slow\"}");
     BOOST_TEST(faults->at(1).atMs == 4500);
     BOOST_TEST(faults->at(1).signal == SIGKILL);
     for (const char *bad : {"1 signal entry-1 HUP", "x fault engine-1 {}", "1 fault engine-1", "-1 signal a KILL"}) {
-        const auto refused = parseFaults("# one\n" + std::string(bad));
+        const auto refused = parseFaultSchedule("# one\n" + std::string(bad));
         BOOST_REQUIRE(!refused.has_value());
         BOOST_TEST(refused.error().what.starts_with("line 2"), bad);
     }
 }
 
-BOOST_AUTO_TEST_CASE(a_doubled_order_a_false_not_run_and_a_crossed_answer_are_found)
+BOOST_AUTO_TEST_CASE(duplicate_calls_false_not_run_errors_and_crossed_responses_are_detected)
 {
     LoadRecord record(1);
-    record.addTool(SentTool{"m-once", "d1", false, false});
-    record.addTool(SentTool{"m-twice", "d2", false, false});
-    record.addTool(SentTool{"m-twice-allowed", "d3", true, false});
-    record.addTool(SentTool{"m-refused", "", false, true});
-    record.addTool(SentTool{"m-crossed", "d5", false, false});
-    record.addTool(SentTool{"m-never", "", false, true});
-    checkTools({toolRequest("m-once", "d1", "ok"), toolRequest("m-once", "d1", "refused"),
-                   toolRequest("m-twice", "d2", "ok"), toolRequest("m-twice", "d2", "cancelled"),
-                   toolRequest("m-twice-allowed", "d3", "fault"), toolRequest("m-twice-allowed", "d3", "ok"),
-                   toolRequest("m-refused", "d4", "running"), toolRequest("m-crossed", "d6", "ok")},
+    record.addToolCall(SentToolCall{"m-once", "d1", false, false});
+    record.addToolCall(SentToolCall{"m-twice", "d2", false, false});
+    record.addToolCall(SentToolCall{"m-twice-allowed", "d3", true, false});
+    record.addToolCall(SentToolCall{"m-refused", "", false, true});
+    record.addToolCall(SentToolCall{"m-crossed", "d5", false, false});
+    record.addToolCall(SentToolCall{"m-never", "", false, true});
+    checkToolCalls({toolRequest("m-once", "d1", "ok"), toolRequest("m-once", "d1", "refused"),
+                       toolRequest("m-twice", "d2", "ok"), toolRequest("m-twice", "d2", "cancelled"),
+                       toolRequest("m-twice-allowed", "d3", "fault"), toolRequest("m-twice-allowed", "d3", "ok"),
+                       toolRequest("m-refused", "d4", "running"), toolRequest("m-crossed", "d6", "ok")},
         record);
-    BOOST_TEST(brokenOf(record, LoadPromise::AtMostOnce) == 1U);
-    BOOST_TEST(brokenOf(record, LoadPromise::NotRunIsTrue) == 1U);
-    BOOST_TEST(brokenOf(record, LoadPromise::WholeOwnAnswer) == 1U);
+    BOOST_TEST(countViolations(record, LoadGuarantee::AtMostOnce) == 1U);
+    BOOST_TEST(countViolations(record, LoadGuarantee::NotRunIsAccurate) == 1U);
+    BOOST_TEST(countViolations(record, LoadGuarantee::CompleteOwnResponse) == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(cache_that_was_computed_again_is_counted_once_it_was_cached)
+BOOST_AUTO_TEST_CASE(only_tokens_cached_before_count_as_recomputed)
 {
     const std::vector<LedgerRequest> engines = {{"p-1", "", "", "ok", "prompt=100 cached=0", 1},
         {"p-1", "", "", "ok", "prompt=150 cached=100", 2}, {"p-1", "", "", "ok", "prompt=200 cached=16", 3},
         {"p-2", "", "", "ok", "prompt=50 cached=0", 2}, {"p-2", "", "", "ok", "release=p-2", 9}};
-    const CacheUse use = cacheUse(engines);
+    const CacheUse use = computeCacheUse(engines);
     BOOST_TEST(use.prompt == 500U);
     BOOST_TEST(use.cachedOnce == 250U);
     BOOST_TEST(use.recomputed == 134U);
 }
 
-BOOST_AUTO_TEST_CASE(a_report_shows_measures_beside_another_runs)
+BOOST_AUTO_TEST_CASE(a_report_compares_measures_with_another_run)
 {
     LoadRecord record(2);
     record.addProgram(0, true, 2.0, 0);
@@ -120,7 +121,7 @@
     record.addProgram(1, false, 9.0, 950);
     record.addCall(0, 0.5);
     record.addRefusal(1);
-    record.check(LoadPromise::Order, false, "program p-9 shows other calls");
+    record.check(LoadGuarantee::Order, false, "program p-9 shows other calls");
     LoadReport report;
     report.tenantNames = {"one", "two"};
     const auto measures = loadMeasures(report, record);
