--- a/fuzz/fuzz_input.h
+++ b/fuzz/fuzz_input.h
@@ -1,4 +1,4 @@
-/** @file fuzz_input.h  What the fuzz targets share: input as text, and a scratch folder. */
+/** @file fuzz_input.h  Helpers of the fuzz targets: input as text, scratch files and assertions. */
 #pragma once
 
 #include <cstddef>
@@ -17,7 +17,7 @@
     return {reinterpret_cast<const char *>(data), size};
 }
 
-/** A folder of this process, made on the first use. */
+/** Temporary folder of this process; created by the first call and not removed. */
 inline const std::string &scratchFolder()
 {
     static const std::string folder = [] {
@@ -33,10 +33,10 @@
     std::ofstream(path, std::ios::binary | std::ios::trunc) << text;
 }
 
-/** Ends the process as a found fault where @p held is false. */
-inline void require(bool held)
+/** Makes the fuzzer report a failure if @p condition is false. */
+inline void require(bool condition)
 {
-    if (!held) {
+    if (!condition) {
         __builtin_trap();
     }
 }
