--- a/deploy/chestnuthook-ctl.bash
+++ b/deploy/chestnuthook-ctl.bash
@@ -1,9 +1,10 @@
-# Completions of chestnuthook-ctl for bash: `. deploy/chestnuthook-ctl.bash`, or copy it to
-# /usr/share/bash-completion/completions/chestnuthook-ctl. Verbs and flags come from --help, so they are never stale.
+# Bash completion for chestnuthook-ctl. Load it with `. deploy/chestnuthook-ctl.bash` or copy it to
+# /usr/share/bash-completion/completions/chestnuthook-ctl. Commands and flags are read from --help, so
+# they always match the installed binary.
 
 _chestnuthook_ctl() {
     local current=${COMP_WORDS[COMP_CWORD]} previous=${COMP_WORDS[COMP_CWORD - 1]} help verb='' sub='' word
-    # Words before the cursor that are no flags: the verb and its second word.
+    # The command and subcommand are the first two words before the cursor that are not flags.
     for word in "${COMP_WORDS[@]:1:COMP_CWORD-1}"; do
         case $word in -* | =) continue ;; esac
         if [ -z "$verb" ]; then verb=$word; elif [ -z "$sub" ]; then sub=$word; fi
