--- a/src/control/main.cpp
+++ b/src/control/main.cpp
@@ -1,4 +1,4 @@
-/** @file main.cpp  chestnuthook-control: one member of the replicated control state, on an instance with a disk. */
+/** @file main.cpp  chestnuthook-control: one member of the replicated control state; needs durable storage. */
 #include <cstdlib>
 #include <map>
 #include <optional>
@@ -32,7 +32,7 @@
 
 using namespace Chestnuthook;
 
-/** Names and addresses of `NAME=ip:port,…`; empty where the list is malformed or empty. */
+/** Parses `NAME=ip:port,…` into addresses by name; empty if @p list is malformed or empty. */
 std::map<std::string, std::string> parseMembers(const std::string &list)
 {
     std::map<std::string, std::string> members;
@@ -63,14 +63,14 @@
     {"members", "identity", memberListCheck(), "list the first members as NAME=ip:port, the same list at each of them"},
     {"join", "identity", {}, "set it at a member that is added to a running group"},
     {"snapshot_entries", "storage", rangeCheck(10, 10000000), "give a number such as 10000"},
-    {"test_hooks", "testing", {}, "leave it out but in tests"},
+    {"test_hooks", "testing", {}, "set it in tests only"},
     {"data_centre", "identity", nonEmptyCheck(), "name the data centre of this instance"},
     {"secret_file", "security", {}, "name a readable file, or set CHESTNUTHOOK_SECRET"},
     {"log_file", "logging", {}, "name a file that this user may write"},
-    {"log_level", "logging", oneOfCheck({"debug", "info", "warning", "error"}), "say debug, info, warning or error"},
+    {"log_level", "logging", oneOfCheck({"debug", "info", "warning", "error"}), "use debug, info, warning or error"},
 };
 
-int endWith(const Error &error)
+int reportFault(const Error &error)
 {
     logEvent(EventKind::StorageFault, {{"error", errorText(error)}});
     return errorRow(error.kind).exitCode;
@@ -87,7 +87,7 @@
     return replica;
 }
 
-/** A control member's process. */
+/** Process of one control member. */
 class MemberDaemon
 {
 public:
@@ -103,7 +103,7 @@
         Supervisor root("control", RestartStrategy::RestForOne, {}, this->loop.timers(), this->children());
         const Result<void> started = root.start();
         if (!started) {
-            return endWith(started.error());
+            return reportFault(started.error());
         }
         this->loop.onTerminate([this]() {
             logEvent(EventKind::ProcessStopping, {});
@@ -116,14 +116,14 @@
     }
 
 private:
-    /** The supervisor's table, in start order: each row leans on those above it. */
+    /** Children of the supervisor in start order; each depends on those before it. */
     std::vector<ChildSpecification> children()
     {
         using Daemon = MemberDaemon;
         return {
-            childRow("state", *this, &Daemon::openState),
-            childRow("replication", *this, &Daemon::startReplication),
-            childRow("port", *this, &Daemon::startPort),
+            makeChildSpecification("state", *this, &Daemon::openState),
+            makeChildSpecification("replication", *this, &Daemon::startReplication),
+            makeChildSpecification("port", *this, &Daemon::startPort),
         };
     }
 
@@ -143,22 +143,22 @@
         OfferedServices services{makeControlService(this->member), this->member.node.makeService()};
         auto port = serveRpc(this->loop.rpc(), FLAGS_listen, kj::mv(services));
         this->loop.detach(port.catch_([this](kj::Exception &&exception) {
-            this->exitCode = endWith(Error{ErrorKind::AddressInUse, exception.getDescription().cStr(), Ran::No, 0});
+            this->exitCode = reportFault(Error{ErrorKind::AddressInUse, exception.getDescription().cStr(), Ran::No, 0});
             this->loop.stop();
         }));
         return {};
     }
 
-    ControlLoop loop; ///< The control thread's.
-    ControlMember member; ///< The replicated state.
-    int exitCode = EXIT_SUCCESS; ///< Why the daemon ends by itself.
+    ControlLoop loop; ///< Event loop of the control thread.
+    ControlMember member; ///< Replicated state and its service.
+    int exitCode = EXIT_SUCCESS; ///< Set when the daemon stops because of an error.
 };
 
 } // namespace
 
 int main(int argc, char **argv)
 {
-    const DaemonStart start = startDaemon(argc, argv, withFleetSecurity(Settings));
+    const DaemonSettings start = loadDaemonSettings(argc, argv, withFleetSecuritySettings(Settings));
     if (start.exitCode) {
         return *start.exitCode;
     }
--- a/src/ctl/ctl_programs_func.cpp
+++ b/src/ctl/ctl_programs_func.cpp
@@ -1,4 +1,4 @@
-/** @file ctl_programs_func.cpp  programs: lists agent programs. */
+/** @file ctl_programs_func.cpp  The verb programs: lists agent programs. */
 #include "ctl/ctl_verb_func.h"
 
 namespace Chestnuthook
@@ -13,7 +13,7 @@
 {
     Poco::JSON::Object object(Poco::JSON_PRESERVE_KEY_ORDER);
     object.set("id", program.id.text);
-    object.set("tenant", program.tenant.text);
+    object.set("tenant", program.customer.text);
     object.set("parent", program.parent.text);
     object.set("state", program.endedMs == 0 ? "open" : "ended");
     object.set("calls", program.calls.size());
@@ -24,7 +24,7 @@
 
 Words programRow(const ProgramRecord &program)
 {
-    return {program.id.text, program.tenant.text, program.endedMs == 0 ? "open" : "ended",
+    return {program.id.text, program.customer.text, program.endedMs == 0 ? "open" : "ended",
         std::to_string(program.calls.size()),
         std::to_string(program.spent.tokens) + "/" + std::to_string(program.budget.tokens),
         program.parent.empty() ? "-" : program.parent.text};
@@ -40,10 +40,10 @@
     for (std::uint16_t first = 0; first < SlotCount && found < options.limit; first += SlotsPerRead) {
         const auto programs = session.loadSlots(first, SlotsPerRead);
         if (!programs) {
-            return complain(options, programs.error());
+            return printError(options, programs.error());
         }
         for (const ProgramRecord &program : *programs) {
-            if ((words.empty() || program.tenant.text == words[0]) && found < options.limit) {
+            if ((words.empty() || program.customer.text == words[0]) && found < options.limit) {
                 ++found;
                 rows.push_back(programRow(program));
                 list.add(programJson(program));
@@ -53,7 +53,7 @@
     Poco::JSON::Object object(Poco::JSON_PRESERVE_KEY_ORDER);
     object.set("programs", list);
     object.set("more", found == options.limit);
-    std::string text = columns(rows);
+    std::string text = formatColumns(rows);
     if (found == options.limit) {
         text += "the first " + std::to_string(found) + "; give --limit for more\n";
     }
--- a/src/deployment/configuration_type.cpp
+++ b/src/deployment/configuration_type.cpp
@@ -1,4 +1,4 @@
-/** @file configuration_type.cpp  Checks of a configuration, and its lookups. */
+/** @file configuration_type.cpp  Validation of a configuration, and lookups in it. */
 #include "deployment/configuration_type.h"
 
 #include <algorithm>
@@ -12,40 +12,40 @@
 namespace
 {
 
-Result<void> checkRoute(const RouteRule &route, const std::map<std::string, ServiceRule> &services)
+Result<void> checkRoute(const RouteConfig &route, const std::map<std::string, ServiceConfig> &services)
 {
-    const std::string where = "route " + route.name + ": ";
+    const std::string prefix = "route " + route.name + ": ";
     if (route.pathPrefix.empty() || route.pathPrefix.front() != '/' || route.pathPrefix.back() != '/') {
-        return fail(ErrorKind::BadDeclaration, where + "the path prefix must begin and end with a slash");
+        return fail(ErrorKind::BadDeclaration, prefix + "the path prefix must begin and end with a slash");
     }
     if (route.timeout.count() <= 0) {
-        return fail(ErrorKind::BadDeclaration, where + "the time-out must be above 0");
+        return fail(ErrorKind::BadDeclaration, prefix + "the time-out must be above 0");
     }
     std::uint64_t weights = 0;
     for (const RouteTarget &target : route.targets) {
         if (!services.contains(target.service)) {
-            return fail(ErrorKind::BadDeclaration, where + "no service is called " + target.service);
+            return fail(ErrorKind::BadDeclaration, prefix + "there is no service named " + target.service);
         }
         weights += target.weight;
     }
     if (weights == 0) {
-        return fail(ErrorKind::BadDeclaration, where + "the weights of its services add up to 0");
+        return fail(ErrorKind::BadDeclaration, prefix + "the weights of its services add up to 0");
     }
     return {};
 }
 
 } // namespace
 
-Result<void> Configuration::complete()
+Result<void> Configuration::finalize()
 {
-    std::set<std::pair<std::string, std::string>> places;
+    std::set<std::pair<std::string, std::string>> hostsAndPaths;
     for (std::size_t i = 0; i < this->routes.size(); ++i) {
-        const RouteRule &route = this->routes[i];
+        const RouteConfig &route = this->routes[i];
         Result<void> checked = checkRoute(route, this->services);
         if (!checked) {
             return checked;
         }
-        if (!places.emplace(route.host, route.pathPrefix).second) {
+        if (!hostsAndPaths.emplace(route.host, route.pathPrefix).second) {
             return fail(
                 ErrorKind::BadDeclaration, "route " + route.name + ": another route has the same host and path prefix");
         }
@@ -58,9 +58,9 @@
     }
     std::set<std::string> names;
     for (std::size_t i = 0; i < this->customers.size(); ++i) {
-        const CustomerRule &customer = this->customers[i];
+        const CustomerConfig &customer = this->customers[i];
         if (!names.insert(customer.name).second) {
-            return fail(ErrorKind::BadDeclaration, "two customers are called " + customer.name);
+            return fail(ErrorKind::BadDeclaration, "two customers are named " + customer.name);
         }
         for (const std::string &key : customer.keys) {
             const auto [known, added] = this->customerByKey.emplace(key, i);
@@ -73,7 +73,7 @@
     return {};
 }
 
-const RouteRule *Configuration::findRoute(std::string_view host, std::string_view path) const
+const RouteConfig *Configuration::findRoute(std::string_view host, std::string_view path) const
 {
     const std::string name = Poco::toLower(std::string(host.substr(0, host.find(':'))));
     const auto indexes = this->routesByHost.find(name);
@@ -88,7 +88,7 @@
     return nullptr;
 }
 
-const CustomerRule *Configuration::findCustomer(const std::string &key) const
+const CustomerConfig *Configuration::findCustomer(const std::string &key) const
 {
     const auto found = this->customerByKey.find(key);
     return found == this->customerByKey.end() ? nullptr : &this->customers[found->second];
--- /dev/null
+++ b/src/deployment/instance_registry_base.cpp
@@ -0,0 +1,125 @@
+/** @file instance_registry_base.cpp  Records reports of daemons and expires silent ones. */
+#include "deployment/instance_registry_base.h"
+
+#include <algorithm>
+#include <optional>
+
+namespace Chestnuthook
+{
+
+std::vector<InstanceInfo> selectGateways(std::vector<InstanceInfo> instances, const std::string &dataCentre)
+{
+    std::erase_if(instances, [](const InstanceInfo &instance) {
+        return instance.role != Wire::InstanceRole::GATEWAY || !instance.ready;
+    });
+    std::stable_partition(instances.begin(), instances.end(), [&dataCentre](const InstanceInfo &instance) {
+        return instance.dataCentre == dataCentre;
+    });
+    instances.resize(std::min(instances.size(), MaxListedGateways));
+    return instances;
+}
+
+Duration gatewayListTtl(Duration stopGrace)
+{
+    constexpr Duration MaxTtl = std::chrono::seconds(2); // A new gateway should not wait longer for its first clients.
+    constexpr int StopGraceParts = 4; // MaxTtlOverrunFactor parts for clients to ask again, one to finish.
+    return std::min(MaxTtl, Duration(stopGrace / StopGraceParts));
+}
+
+bool InstanceRegistry::recordReport(Instant now, const InstanceInfo &info, std::uint64_t copiedView)
+{
+    Entry &entry = this->entries[info.name];
+    const bool changed = !entry.alive || entry.info != info;
+    entry = Entry{info, now, copiedView, true};
+    return changed;
+}
+
+void InstanceRegistry::adopt(Instant now, const std::vector<InstanceInfo> &instances)
+{
+    for (const InstanceInfo &instance : instances) {
+        this->entries.try_emplace(instance.name, Entry{instance, now, 0, true});
+    }
+}
+
+bool InstanceRegistry::expire(Instant now)
+{
+    bool changed = false;
+    for (auto &[name, entry] : this->entries) {
+        if (entry.alive && now - entry.lastReport > SilenceTimeout) {
+            entry.alive = false;
+            changed = true;
+        }
+    }
+    std::erase_if(this->entries, [now](const auto &row) {
+        return now - row.second.lastReport > ForgetTimeout;
+    });
+    return changed;
+}
+
+std::vector<InstanceInfo> InstanceRegistry::alive() const
+{
+    std::vector<InstanceInfo> list;
+    for (const auto &[name, entry] : this->entries) {
+        if (entry.alive) {
+            list.push_back(entry.info);
+        }
+    }
+    return list;
+}
+
+std::pair<std::size_t, std::size_t> InstanceRegistry::gatewayCounts() const
+{
+    std::size_t all = 0;
+    std::size_t silent = 0;
+    for (const auto &[name, entry] : this->entries) {
+        if (entry.info.role == Wire::InstanceRole::GATEWAY) {
+            ++all;
+            silent += entry.alive ? 0 : 1;
+        }
+    }
+    return {all, silent};
+}
+
+std::vector<HistoryCandidate> InstanceRegistry::historyCandidates(
+    Instant now, const HistoryView &view, const std::set<std::string> &retiring, Instant leaderSince) const
+{
+    std::vector<HistoryCandidate> list;
+    for (const auto &[name, entry] : this->entries) {
+        if (entry.info.role != Wire::InstanceRole::HISTORY || entry.info.identity.empty()) {
+            continue; // Without an identity it would look like a member that lost its data folder.
+        }
+        HistoryCandidate candidate;
+        candidate.member = {entry.info.identity, name, entry.info.rpcAddress};
+        candidate.dataCentre = entry.info.dataCentre;
+        candidate.alive = entry.alive;
+        candidate.lost = now - entry.lastReport > LostTimeout;
+        candidate.retiring = retiring.contains(name);
+        candidate.copiedView = entry.copiedView;
+        list.push_back(std::move(candidate));
+    }
+    for (const HistoryMember &member : view.members()) {
+        const bool isKnown = std::any_of(list.begin(), list.end(), [&member](const HistoryCandidate &candidate) {
+            return candidate.member.identity == member.identity;
+        });
+        if (!isKnown) {
+            HistoryCandidate candidate;
+            candidate.member = member;
+            candidate.lost = now - leaderSince > LostTimeout;
+            candidate.retiring = retiring.contains(member.name);
+            list.push_back(std::move(candidate));
+        }
+    }
+    return list;
+}
+
+std::optional<Instant> InstanceRegistry::lastReportOfControl(const std::string &identity) const
+{
+    for (const auto &[name, entry] : this->entries) {
+        if (entry.info.role == Wire::InstanceRole::CONTROL && entry.info.identity == identity) {
+            return entry.lastReport;
+        }
+    }
+    return std::nullopt;
+}
+
+} // namespace Chestnuthook
--- /dev/null
+++ b/src/deployment/instance_registry_base.h
@@ -0,0 +1,83 @@
+/** @file instance_registry_base.h  Registry of the daemons of a deployment, kept by the leader from their reports. No
+ * I/O, no clock. */
+#pragma once
+
+#include <cstdint>
+#include <map>
+#include <string>
+#include <vector>
+
+#include "core/timer_type.h"
+#include "deployment/history_view_type.h"
+
+namespace Chestnuthook
+{
+
+/** Description of a daemon, as it reports itself. */
+struct InstanceInfo
+{
+    std::string name; ///< Unique among the daemons that are alive.
+    Wire::InstanceRole role = Wire::InstanceRole::GATEWAY; ///< Role of the daemon.
+    std::string dataCentre; ///< Data centre of the daemon.
+    std::string clientAddress; ///< Address for clients (gateway) or operators (control); may be empty.
+    std::string rpcAddress; ///< Address for other daemons.
+    std::string identity; ///< Identity of its data folder; empty if it has none.
+    bool ready = false; ///< A gateway that accepts client requests.
+    bool operator==(const InstanceInfo &) const = default;
+};
+
+/** Gateways that clients in @p dataCentre should use: those of that data centre first, at most MaxListedGateways. */
+[[nodiscard]] std::vector<InstanceInfo> selectGateways(
+    std::vector<InstanceInfo> instances, const std::string &dataCentre);
+inline constexpr std::size_t MaxListedGateways = 64; ///< Gateways in one response to a client.
+/** Time for which clients are told to cache a gateway list, if a planned stop may take @p stopGrace. A client that asks
+ * an unresponsive member loses a second, so clients should ask rarely. But a stopping gateway has to serve until the
+ * last client has asked again. */
+[[nodiscard]] Duration gatewayListTtl(Duration stopGrace);
+/** Some clients cache a gateway list for up to this many times its TTL. */
+inline constexpr int MaxTtlOverrunFactor = 3;
+
+/** Used by the control thread of the leader only. */
+class InstanceRegistry
+{
+public:
+    /** A daemon without a report for this long counts as silent and leaves the list of alive daemons. */
+    static constexpr Duration SilenceTimeout = std::chrono::milliseconds(600);
+    /** A history member without a report for this long is replaced if a spare instance exists. Longer than a process
+     * restart takes. */
+    static constexpr Duration LostTimeout = std::chrono::milliseconds(2500);
+    /** A daemon without a report for this long is deleted from the registry. */
+    static constexpr Duration ForgetTimeout = std::chrono::seconds(60);
+
+    /** Records a report. @p copiedView is the version of the view whose copy is complete, 0 for none.
+     * @return whether the alive daemons changed. */
+    bool recordReport(Instant now, const InstanceInfo &info, std::uint64_t copiedView);
+    /** Adds daemons known from a former leader, as if they had reported at @p now. */
+    void adopt(Instant now, const std::vector<InstanceInfo> &instances);
+    /** Marks silent daemons and deletes forgotten ones. @return whether the alive daemons changed. */
+    bool expire(Instant now);
+
+    /** Daemons that have reported within SilenceTimeout, by name. */
+    [[nodiscard]] std::vector<InstanceInfo> alive() const;
+    /** Number of known gateways, and how many of them are silent. */
+    [[nodiscard]] std::pair<std::size_t, std::size_t> gatewayCounts() const;
+    /** History instances and members of @p view. Members that never reported count as lost once LostTimeout has passed
+     * since @p leaderSince. */
+    [[nodiscard]] std::vector<HistoryCandidate> historyCandidates(
+        Instant now, const HistoryView &view, const std::set<std::string> &retiring, Instant leaderSince) const;
+    /** Time of the last report of the control member with @p identity; empty if it never reported. */
+    [[nodiscard]] std::optional<Instant> lastReportOfControl(const std::string &identity) const;
+
+private:
+    struct Entry
+    {
+        InstanceInfo info; ///< From the last report.
+        Instant lastReport{0}; ///< Time of the last report.
+        std::uint64_t copiedView = 0; ///< From the last report.
+        bool alive = false; ///< Has reported within SilenceTimeout.
+    };
+
+    std::map<std::string, Entry> entries; ///< By name.
+};
+
+} // namespace Chestnuthook
--- a/src/entry/admission_client_base.cpp
+++ b/src/entry/admission_client_base.cpp
@@ -1,4 +1,4 @@
-/** @file admission_client_base.cpp  Asking and answering for tenants' buckets between entries. */
+/** @file admission_client_base.cpp  RPCs between entries about the token buckets of customers. */
 #include "entry/admission_client_base.h"
 
 #include <algorithm>
@@ -13,15 +13,15 @@
 namespace
 {
 
-constexpr auto AskTimeout = 500 * kj::MILLISECONDS;
+constexpr auto PeerRequestTimeout = 500 * kj::MILLISECONDS;
 
-/** How often a former owner is asked for its buckets. */
-constexpr Duration HandoverPeriod = std::chrono::milliseconds(100);
+/** How often a former owner is asked to hand over its buckets. */
+constexpr Duration HandoverRetryInterval = std::chrono::milliseconds(100);
 
-AdmitVerdict unreachable()
+AdmissionDecision ownerUnavailable()
 {
-    AdmitVerdict verdict;
-    verdict.state = AdmitState::NotOwner;
+    AdmissionDecision verdict;
+    verdict.state = AdmissionState::NotOwner;
     return verdict;
 }
 
@@ -34,16 +34,16 @@
 {
 }
 
-SlotFacts AdmissionClient::facts(const FleetView &view) const
+SlotSnapshot AdmissionClient::facts(const FleetView &view) const
 {
-    SlotFacts facts{this->follower.self.id, &view.slots, {}};
+    SlotSnapshot facts{this->follower.self.id, &view.slots, {}};
     for (const EntryRecord &entry : view.entries) {
         facts.leased.insert(entry.id);
     }
     return facts;
 }
 
-std::string AdmissionClient::addressOf(const EntryId &entry) const
+std::string AdmissionClient::rpcAddressOf(const EntryId &entry) const
 {
     const auto view = this->follower.views.get();
     for (const EntryRecord &record : view == nullptr ? std::vector<EntryRecord>() : view->entries) {
@@ -64,37 +64,37 @@
     this->requestHandovers();
 }
 
-AdmitVerdict AdmissionClient::decide(const TenantId &tenant, std::uint32_t count)
+AdmissionDecision AdmissionClient::admitAsOwner(const CustomerId &customer, std::uint32_t count)
 {
     const auto view = this->follower.views.get();
     if (view == nullptr) {
-        return unreachable();
+        return ownerUnavailable();
     }
-    const auto declared = view->tenants.find(tenant);
-    if (declared == view->tenants.end()) {
-        return unreachable();
+    const auto declared = view->customers.find(customer);
+    if (declared == view->customers.end()) {
+        return ownerUnavailable();
     }
     const Instant now = this->loop.timers().now();
-    return this->owner.admit(declared->second, count, now, this->follower.views.relyUntil());
+    return this->owner.admit(declared->second, count, now, this->follower.views.freshUntil());
 }
 
-kj::Promise<AdmitVerdict> AdmissionClient::ask(const TenantId &tenant)
+kj::Promise<AdmissionDecision> AdmissionClient::requestAdmission(const CustomerId &customer)
 {
     const auto view = this->follower.views.get();
-    const EntryId slotOwner = view == nullptr ? EntryId{} : view->slots[slotOf(tenant.text).value].owner;
+    const EntryId slotOwner = view == nullptr ? EntryId{} : view->slots[slotOf(customer.text).value].owner;
     if (slotOwner == this->follower.self.id) {
-        return this->decide(tenant, 1);
+        return this->admitAsOwner(customer, 1);
     }
-    const std::string address = this->addressOf(slotOwner);
+    const std::string address = this->rpcAddressOf(slotOwner);
     if (address.empty()) {
-        return unreachable();
+        return ownerUnavailable();
     }
-    auto paf = kj::newPromiseAndFulfiller<AdmitVerdict>();
+    auto paf = kj::newPromiseAndFulfiller<AdmissionDecision>();
     Batch &batch = this->batches[address];
-    batch.waiting.push_back({tenant, kj::mv(paf.fulfiller)});
+    batch.waiting.push_back({customer, kj::mv(paf.fulfiller)});
     if (!batch.busy) {
         batch.busy = true;
-        // Later in this turn, so that requests which came in together go together.
+        // Sends at the end of this turn of the event loop, so that requests which arrived together share a batch.
         this->loop.detach(kj::evalLast([this, address]() {
             this->send(address);
         }));
@@ -111,17 +111,18 @@
     }
     auto waiters = std::make_shared<std::vector<Waiter>>(std::move(batch.waiting));
     batch.waiting.clear();
-    auto rows = std::make_shared<std::vector<unsigned>>();
-    auto asked = this->peers.peer(address).then([waiters, rows](Wire::EntryPeer::Client &&peer) {
-        std::map<TenantId, unsigned> rowOf;
-        std::vector<std::pair<TenantId, std::uint32_t>> wanted;
+    auto requestIndexes = std::make_shared<std::vector<unsigned>>();
+    auto responsePromise = this->peers.peer(address).then([waiters, requestIndexes](Wire::EntryPeer::Client &&peer) {
+        std::map<CustomerId, unsigned> requestIndexOf;
+        std::vector<std::pair<CustomerId, std::uint32_t>> wanted;
         for (const Waiter &waiter : *waiters) {
-            const auto [row, added] = rowOf.try_emplace(waiter.tenant, static_cast<unsigned>(wanted.size()));
+            const auto [requestIndex, added] =
+                requestIndexOf.try_emplace(waiter.customer, static_cast<unsigned>(wanted.size()));
             if (added) {
-                wanted.emplace_back(waiter.tenant, 0);
+                wanted.emplace_back(waiter.customer, 0);
             }
-            ++wanted[row->second].second;
-            rows->push_back(row->second);
+            ++wanted[requestIndex->second].second;
+            requestIndexes->push_back(requestIndex->second);
         }
         auto request = peer.admitRequest();
         auto list = request.initRequests(static_cast<unsigned>(wanted.size()));
@@ -132,15 +133,15 @@
         return request.send();
     });
     this->loop.detach(this->loop.kjTimer()
-                          .timeoutAfter(AskTimeout, kj::mv(asked))
+                          .timeoutAfter(PeerRequestTimeout, kj::mv(responsePromise))
                           .then(
-                              [this, waiters, rows](auto &&response) {
-                                  this->takeReplies(response.getReplies(), *waiters, *rows);
+                              [this, waiters, requestIndexes](auto &&response) {
+                                  this->handleReplies(response.getReplies(), *waiters, *requestIndexes);
                               },
                               [this, address, waiters](kj::Exception && /*exception*/) {
                                   this->peers.reset(address);
                                   for (Waiter &waiter : *waiters) {
-                                      waiter.fulfiller->fulfill(unreachable());
+                                      waiter.fulfiller->fulfill(ownerUnavailable());
                                   }
                               })
                           .then([this, address]() {
@@ -148,21 +149,21 @@
                           }));
 }
 
-void AdmissionClient::takeReplies(
-    capnp::List<Wire::AdmitReply>::Reader replies, std::vector<Waiter> &waiters, const std::vector<unsigned> &rows)
+void AdmissionClient::handleReplies(capnp::List<Wire::AdmitReply>::Reader replies, std::vector<Waiter> &waiters,
+    const std::vector<unsigned> &requestIndexes)
 {
     std::vector<unsigned> used(replies.size(), 0);
     for (std::size_t i = 0; i < waiters.size(); ++i) {
-        AdmitVerdict verdict = unreachable();
-        if (rows[i] < replies.size()) {
-            const auto reply = replies[rows[i]];
-            const unsigned place = used[rows[i]]++;
+        AdmissionDecision verdict = ownerUnavailable();
+        if (requestIndexes[i] < replies.size()) {
+            const auto reply = replies[requestIndexes[i]];
+            const unsigned position = used[requestIndexes[i]]++;
             const bool undecided = reply.hasFailure();
-            verdict.state = undecided ? AdmitState::NotYet : AdmitState::Decided;
+            verdict.state = undecided ? AdmissionState::NotYet : AdmissionState::Decided;
             verdict.retryAfter = std::chrono::milliseconds(reply.getHoldMs());
             verdict.recovering = reply.getRecovering();
-            if (!undecided && place < reply.getDelaysUs().size()) {
-                verdict.delays.emplace_back(reply.getDelaysUs()[place]);
+            if (!undecided && position < reply.getDelaysUs().size()) {
+                verdict.delays.emplace_back(reply.getDelaysUs()[position]);
             }
         }
         waiters[i].fulfiller->fulfill(std::move(verdict));
@@ -172,23 +173,24 @@
 void AdmissionClient::requestHandovers()
 {
     const auto view = this->follower.views.get();
-    std::map<std::string, std::vector<WantedHandover>> byAddress;
-    for (const WantedHandover &handover : this->owner.tenures.wanted(this->facts(*view), this->loop.timers().now())) {
-        byAddress[this->addressOf(handover.former)].push_back(handover);
+    std::map<std::string, std::vector<HandoverRequest>> byAddress;
+    for (const HandoverRequest &handover :
+        this->owner.slotOwnerships.pendingHandovers(this->facts(*view), this->loop.timers().now())) {
+        byAddress[this->rpcAddressOf(handover.former)].push_back(handover);
     }
     if (byAddress.empty()) {
-        this->handovers.cancel();
+        this->handoverTimer.cancel();
         return;
     }
     for (auto &[address, wanted] : byAddress) {
         this->loop.detach(this->requestHandover(address, std::move(wanted)));
     }
-    this->handovers = this->loop.timers().after(HandoverPeriod, [this]() {
+    this->handoverTimer = this->loop.timers().after(HandoverRetryInterval, [this]() {
         this->requestHandovers();
     });
 }
 
-kj::Promise<void> AdmissionClient::requestHandover(const std::string &address, std::vector<WantedHandover> wanted)
+kj::Promise<void> AdmissionClient::requestHandover(const std::string &address, std::vector<HandoverRequest> wanted)
 {
     auto sent = this->peers.peer(address).then([wanted](Wire::EntryPeer::Client &&peer) {
         auto request = peer.giveUpRequest();
@@ -200,7 +202,7 @@
         return request.send();
     });
     return this->loop.kjTimer()
-        .timeoutAfter(AskTimeout, kj::mv(sent))
+        .timeoutAfter(PeerRequestTimeout, kj::mv(sent))
         .then(
             [this, wanted](auto &&response) {
                 const auto slots = response.getSlots();
@@ -210,7 +212,7 @@
                     }
                     std::vector<BucketLevel> levels;
                     for (const auto level : slots[i].getLevels()) {
-                        levels.push_back({TenantId{textOf(level.getTenant())}, level.getLevel()});
+                        levels.push_back({CustomerId{textOf(level.getTenant())}, level.getLevel()});
                     }
                     this->owner.adopt(wanted[i], levels, this->loop.timers().now());
                 }
@@ -220,14 +222,14 @@
             });
 }
 
-void AdmissionClient::giveUp(
+void AdmissionClient::releaseSlots(
     capnp::List<Wire::GivenUpSlot>::Reader slots, capnp::List<Wire::GivenUpSlot>::Builder replies)
 {
     const auto view = this->follower.views.get();
-    std::map<SlotId, std::vector<TenantDeclaration>> tenants;
+    std::map<SlotId, std::vector<CustomerDeclaration>> customers;
     if (view != nullptr) {
-        for (const auto &[id, tenant] : view->tenants) {
-            tenants[slotOf(id.text)].push_back(tenant);
+        for (const auto &[id, customer] : view->customers) {
+            customers[slotOf(id.text)].push_back(customer);
         }
     }
     for (unsigned i = 0; i < slots.size(); ++i) {
@@ -238,12 +240,12 @@
         if (slot.value >= SlotCount || view == nullptr) {
             continue;
         }
-        const auto levels = this->owner.giveUp(slot, epoch, tenants[slot], this->loop.timers().now());
+        const auto levels = this->owner.releaseSlot(slot, epoch, customers[slot], this->loop.timers().now());
         replies[i].setStopped(levels.has_value());
         if (levels) {
             auto list = replies[i].initLevels(static_cast<unsigned>(levels->size()));
             for (unsigned j = 0; j < list.size(); ++j) {
-                list[j].setTenant((*levels)[j].tenant.text);
+                list[j].setTenant((*levels)[j].customer.text);
                 list[j].setLevel((*levels)[j].level);
             }
         }
--- a/src/entry/admission_client_base.h
+++ b/src/entry/admission_client_base.h
@@ -1,12 +1,12 @@
-/** @file admission_client_base.h  Admission on the control thread: decides for the tenants whose slots this entry owns,
- * asks the owners of the others in batches, and takes buckets over when slots move. */
+/** @file admission_client_base.h  Admission control on the control thread: decides for the customers whose slots this
+ * entry owns, sends batched requests to the owners of the others, and takes over buckets when slots move. */
 #pragma once
 
 #include <map>
 #include <string>
 #include <vector>
 
-#include "admission/bucket_owner_base.h"
+#include "admission/customer_rate_limiter_base.h"
 #include "entry/fleet_follower_base.h"
 #include "entry/peer_links_base.h"
 #include "rpc/control_loop_base.h"
@@ -14,51 +14,51 @@
 namespace Chestnuthook
 {
 
-/** For the control thread only. */
+/** Finds the owner of a customer's token bucket and gets its decision. For the control thread only. */
 class AdmissionClient
 {
 public:
     AdmissionClient(ControlLoop &loop, FleetFollower &follower, PeerLinks &peers);
 
-    /** Asks the owner of @p tenant's slot for one request. NotOwner means that there is none, or that it can't be
-     * reached. */
-    [[nodiscard]] kj::Promise<AdmitVerdict> ask(const TenantId &tenant);
+    /** Asks the owner of @p customer's slot to admit one request. The state is NotOwner if the slot has no owner or its
+     * owner can't be reached. */
+    [[nodiscard]] kj::Promise<AdmissionDecision> requestAdmission(const CustomerId &customer);
 
-    /** Decides as the owner of @p tenant's slot. */
-    [[nodiscard]] AdmitVerdict decide(const TenantId &tenant, std::uint32_t count);
+    /** Admits up to @p count requests as the owner of @p customer's slot. */
+    [[nodiscard]] AdmissionDecision admitAsOwner(const CustomerId &customer, std::uint32_t count);
 
-    /** Stops for slots that another entry has gained, and tells what their buckets hold. */
-    void giveUp(capnp::List<Wire::GivenUpSlot>::Reader slots, capnp::List<Wire::GivenUpSlot>::Builder replies);
+    /** Stops admitting for slots that have moved to another entry, and returns the levels of their buckets. */
+    void releaseSlots(capnp::List<Wire::GivenUpSlot>::Reader slots, capnp::List<Wire::GivenUpSlot>::Builder replies);
 
-    /** The follower's copy has changed. */
+    /** Applies a changed view of the fleet state. */
     void onViewChange();
 
 private:
     struct Waiter
     {
-        TenantId tenant; ///< Whose request it is.
-        kj::Own<kj::PromiseFulfiller<AdmitVerdict>> fulfiller; ///< Gets the verdict.
+        CustomerId customer; ///< Customer who made the request.
+        kj::Own<kj::PromiseFulfiller<AdmissionDecision>> fulfiller; ///< Receives the decision.
     };
     struct Batch
     {
-        std::vector<Waiter> waiting; ///< Not sent yet.
-        bool busy = false; ///< A batch is under way; the next goes when it is back.
+        std::vector<Waiter> waiting; ///< Requests that were not sent yet.
+        bool busy = false; ///< A batch is in flight; the next is sent after its reply.
     };
 
-    [[nodiscard]] SlotFacts facts(const FleetView &view) const;
+    [[nodiscard]] SlotSnapshot facts(const FleetView &view) const;
     void send(const std::string &address);
-    void takeReplies(
-        capnp::List<Wire::AdmitReply>::Reader replies, std::vector<Waiter> &waiters, const std::vector<unsigned> &rows);
+    void handleReplies(capnp::List<Wire::AdmitReply>::Reader replies, std::vector<Waiter> &waiters,
+        const std::vector<unsigned> &requestIndexes);
     void requestHandovers();
-    kj::Promise<void> requestHandover(const std::string &address, std::vector<WantedHandover> wanted);
-    [[nodiscard]] std::string addressOf(const EntryId &entry) const;
+    kj::Promise<void> requestHandover(const std::string &address, std::vector<HandoverRequest> wanted);
+    [[nodiscard]] std::string rpcAddressOf(const EntryId &entry) const;
 
     ControlLoop &loop; ///< Outlives this.
     FleetFollower &follower; ///< Outlives this.
     PeerLinks &peers; ///< Outlives this.
-    BucketOwner owner; ///< Buckets of the owned slots.
-    std::map<std::string, Batch> batches; ///< By the owner's address.
-    TimerSubscription handovers; ///< Runs while a handover is wanted.
+    CustomerRateLimiter owner; ///< Buckets of the slots that this entry owns.
+    std::map<std::string, Batch> batches; ///< Batches by RPC address of the slot owner.
+    TimerSubscription handoverTimer; ///< Retries handovers; active while any is pending.
 };
 
 } // namespace Chestnuthook
--- a/src/entry/entry_peer_admit.cpp
+++ b/src/entry/entry_peer_admit.cpp
@@ -1,4 +1,4 @@
-/** @file entry_peer_admit.cpp  Admission on behalf of other entries. */
+/** @file entry_peer_admit.cpp  Serves admission requests of other entries. */
 #include "entry/entry_peer_base.h"
 
 #include <chrono>
@@ -18,14 +18,14 @@
     const auto requests = context.getParams().getRequests();
     auto replies = context.getResults().initReplies(requests.size());
     for (unsigned i = 0; i < requests.size(); ++i) {
-        const AdmitVerdict verdict =
-            this->entry.admission.client.decide(TenantId{textOf(requests[i].getTenant())}, requests[i].getRequests());
+        const AdmissionDecision verdict = this->entry.admission.client.admitAsOwner(
+            CustomerId{textOf(requests[i].getTenant())}, requests[i].getRequests());
         auto reply = replies[i];
         reply.setHoldMs(static_cast<std::uint32_t>((verdict.retryAfter.count() + 999) / 1000));
         reply.setRecovering(verdict.recovering);
-        if (verdict.state != AdmitState::Decided) {
+        if (verdict.state != AdmissionState::Decided) {
             const std::string what =
-                verdict.state == AdmitState::NotYet ? "the slot is changing hands" : "not the owner";
+                verdict.state == AdmissionState::NotYet ? "the slot is being handed over" : "not the owner";
             writeFailure(reply.initFailure(), Error{ErrorKind::NotReady, what, Ran::No, 0});
             continue;
         }
@@ -41,7 +41,7 @@
 kj::Promise<void> EntryPeerServer::giveUp(GiveUpContext context)
 {
     const auto slots = context.getParams().getSlots();
-    this->entry.admission.client.giveUp(slots, context.getResults().initSlots(slots.size()));
+    this->entry.admission.client.releaseSlots(slots, context.getResults().initSlots(slots.size()));
     return kj::READY_NOW;
 }
 
--- a/src/entry/main.cpp
+++ b/src/entry/main.cpp
@@ -1,4 +1,4 @@
-/** @file main.cpp  chestnuthook-entry: takes callers' requests, owns programs and dispatches calls to endpoints. */
+/** @file main.cpp  chestnuthook-entry: serves client requests, runs programs and dispatches calls to endpoints. */
 #include <cstdlib>
 #include <string>
 #include <vector>
@@ -41,14 +41,14 @@
     {"entry", "identity", nonEmptyCheck(), "give a name that no other entry has"},
     {"data_centre", "identity", nonEmptyCheck(), "name the data centre of this instance"},
     {"secret_file", "security", {}, "name a readable file, or set CHESTNUTHOOK_SECRET"},
-    {"tls_certificate", "security", {}, "name a PEM file, and its key in tls_key"},
-    {"tls_key", "security", {}, "name a PEM file, and its certificate in tls_certificate"},
-    {"max_connections", "limits", rangeCheck(1, 100000), "give a number from 1; each connection takes a thread"},
+    {"tls_certificate", "security", {}, "set this to a PEM file, and tls_key to its private key"},
+    {"tls_key", "security", {}, "set this to a PEM file, and tls_certificate to its certificate"},
+    {"max_connections", "limits", rangeCheck(1, 100000), "give a number from 1; each connection occupies a thread"},
     {"max_connections_per_caller", "limits", rangeCheck(1, 100000), "give a number from 1"},
     {"max_header_bytes", "limits", rangeCheck(1024, 1048576), "give a number of bytes from 1024 to 1048576"},
     {"request_send_ms", "limits", rangeCheck(100, 600000), "give milliseconds from 100 to 600000"},
     {"log_file", "logging", {}, "name a file that this user may write"},
-    {"log_level", "logging", oneOfCheck({"debug", "info", "warning", "error"}), "say debug, info, warning or error"},
+    {"log_level", "logging", oneOfCheck({"debug", "info", "warning", "error"}), "use debug, info, warning or error"},
 };
 
 EntrySettings settingsOf(std::string secret)
@@ -58,16 +58,16 @@
     settings.rpcAddress = FLAGS_rpc_listen;
     settings.controls = splitList(FLAGS_controls);
     settings.platform = FLAGS_platform;
-    // A restarted process is another entry: it must not act on the lease of the one before.
+    // A new id for each process: after a restart, an entry must not act on the lease of its previous incarnation.
     settings.id = EntryId{FLAGS_entry + "." + randomHex(4)};
     settings.dataCentre = DataCentreId{FLAGS_data_centre};
     settings.secret = std::move(secret);
-    settings.callers.tlsCertificate = FLAGS_tls_certificate;
-    settings.callers.tlsKey = FLAGS_tls_key;
-    settings.callers.limits.connections = static_cast<int>(FLAGS_max_connections);
-    settings.callers.limits.connectionsPerCaller = static_cast<int>(FLAGS_max_connections_per_caller);
-    settings.callers.limits.headerBytes = static_cast<std::size_t>(FLAGS_max_header_bytes);
-    settings.callers.limits.sendTime = std::chrono::milliseconds(FLAGS_request_send_ms);
+    settings.clientPort.tlsCertificate = FLAGS_tls_certificate;
+    settings.clientPort.tlsKey = FLAGS_tls_key;
+    settings.clientPort.limits.maxConnections = static_cast<int>(FLAGS_max_connections);
+    settings.clientPort.limits.maxConnectionsPerAddress = static_cast<int>(FLAGS_max_connections_per_caller);
+    settings.clientPort.limits.maxHeaderBytes = static_cast<std::size_t>(FLAGS_max_header_bytes);
+    settings.clientPort.limits.sendTimeout = std::chrono::milliseconds(FLAGS_request_send_ms);
     return settings;
 }
 
@@ -75,7 +75,7 @@
 
 int main(int argc, char **argv)
 {
-    const DaemonStart start = startDaemon(argc, argv, withFleetSecurity(Settings));
+    const DaemonSettings start = loadDaemonSettings(argc, argv, withFleetSecuritySettings(Settings));
     if (start.exitCode) {
         return *start.exitCode;
     }
--- a/src/entry/permit_broker_base.h
+++ b/src/entry/permit_broker_base.h
@@ -1,5 +1,5 @@
-/** @file permit_broker_base.h  Permits on the control thread: chooses endpoints, asks their dispatchers in batches, and
- * dispatches the endpoints that fall to this entry. */
+/** @file permit_broker_base.h  Permits on the control thread: selects endpoints, requests permits from their
+ * dispatchers in batches, and grants permits as the dispatcher of the endpoints assigned to this entry. */
 #pragma once
 
 #include <atomic>
@@ -12,122 +12,126 @@
 
 #include "core/error_type.h"
 #include "endpoint/attempt_type.h"
-#include "entry/dispatch_demand_type.h"
+#include "entry/dispatch_request_type.h"
 #include "entry/fleet_follower_base.h"
 #include "entry/peer_links_base.h"
 #include "policy/endpoint_choice_func.h"
 #include "policy/endpoint_health_base.h"
-#include "policy/permit_ledger_base.h"
+#include "policy/permit_table_base.h"
 #include "policy/prefix_index_base.h"
 #include "rpc/control_loop_base.h"
 
 namespace Chestnuthook
 {
 
-constexpr std::size_t EngineInFlight = 32; ///< Calls in flight at one engine.
-constexpr std::size_t ServiceInFlight = 64; ///< Calls in flight at one service replica.
+constexpr std::size_t MaxEngineInFlight = 32; ///< Maximum number of calls in flight at one engine.
+constexpr std::size_t MaxServiceInFlight = 64; ///< Maximum number of calls in flight at one service replica.
 
-[[nodiscard]] constexpr std::size_t inFlightBound(EndpointKind kind)
+[[nodiscard]] constexpr std::size_t maxInFlight(EndpointKind kind)
 {
-    return kind == EndpointKind::Engine ? EngineInFlight : ServiceInFlight;
+    return kind == EndpointKind::Engine ? MaxEngineInFlight : MaxServiceInFlight;
 }
 
-/** How the wait for a permit ended. */
-struct PermitVerdict
+/** Result of a wait for a permit. */
+struct PermitResult
 {
-    DispatchPermit permit; ///< Valid where there is no error.
-    std::optional<Error> error; ///< Why there is none.
+    DispatchPermit permit; ///< Valid if there is no error.
+    std::optional<Error> error; ///< Why no permit was granted.
 };
 
-/** For the control thread only. */
+/** Requests and grants permits; for the control thread only. */
 class PermitBroker
 {
 public:
     PermitBroker(ControlLoop &loop, FleetFollower &follower, PeerLinks &peers);
 
-    /** Waits for a permit at the endpoint that promises the earliest completion. Errors as Dispatch::acquire. */
-    [[nodiscard]] kj::Promise<kj::Own<PermitVerdict>> acquire(const DispatchDemand &demand);
+    /** Waits for a permit at the endpoint with the earliest predicted completion. Errors as for Dispatch::acquire. */
+    [[nodiscard]] kj::Promise<kj::Own<PermitResult>> acquire(const DispatchRequest &request);
 
-    /** The attempt under @p permit has ended. */
-    void release(const DispatchPermit &permit, const DispatchDemand &demand, const AttemptOutcome &outcome);
+    /** Releases @p permit after its attempt has ended. */
+    void release(const DispatchPermit &permit, const DispatchRequest &request, const AttemptOutcome &outcome);
 
-    /** Answers other entries as the dispatcher of their endpoints. */
-    void answer(capnp::List<Wire::PermitRequest>::Reader requests, capnp::List<Wire::PermitReply>::Builder replies);
-    /** Another entry's permits have ended. */
-    void takeRelease(const EntryId &entry, capnp::List<std::uint64_t>::Reader permits);
-    /** A dispatcher grants permits that waited. */
-    void takeGranted(capnp::List<std::uint64_t>::Reader permits);
+    /** Serves permit requests of other entries, as the dispatcher of the endpoints. */
+    void handleRequests(
+        capnp::List<Wire::PermitRequest>::Reader requests, capnp::List<Wire::PermitReply>::Builder replies);
+    /** Releases permits of another entry. */
+    void handleRelease(const EntryId &entry, capnp::List<std::uint64_t>::Reader permits);
+    /** Handles grants by a dispatcher for permits that were queued. */
+    void handleGranted(capnp::List<std::uint64_t>::Reader permits);
 
+    /** Applies a changed view of the fleet state. */
     void onViewChange();
-    /** From any thread. */
+    /** Sets the latest endpoint list; from any thread. */
     void setEndpoints(std::shared_ptr<const EndpointList> next);
 
 private:
-    /** A permit that waits or is in use. */
-    struct Ticket
+    /** A permit of this entry that is waiting or in use. */
+    struct LocalPermit
     {
-        DispatchDemand demand; ///< As asked for.
-        EndpointId endpoint; ///< Where.
-        double uncachedTokens = 0; ///< Prefill expected there.
-        Instant askedAt; ///< For ageing.
-        Instant deadline; ///< For the wait.
-        bool running = false; ///< Granted.
-        bool fallback = false; ///< Granted without a dispatcher; it is told as soon as it can be reached.
-        EntryId toldTo; ///< The dispatcher that it was asked of.
-        bool told = false; ///< That dispatcher has answered.
-        kj::Own<kj::PromiseFulfiller<kj::Own<PermitVerdict>>> fulfiller; ///< While it waits.
+        DispatchRequest request; ///< Requirements of the attempt.
+        EndpointId endpoint; ///< The selected endpoint.
+        double uncachedTokens = 0; ///< Prompt tokens that the endpoint is expected to have to prefill.
+        Instant requestedAt; ///< When it was requested, for the ageing of queued calls.
+        Instant deadline; ///< When the wait ends.
+        bool running = false; ///< Whether it was granted.
+        bool fallback = false; ///< Granted while the dispatcher was unreachable, which is informed as soon as possible.
+        EntryId requestedFrom; ///< The dispatcher that it was requested from.
+        bool acknowledged = false; ///< Whether that dispatcher has replied.
+        kj::Own<kj::PromiseFulfiller<kj::Own<PermitResult>>> fulfiller; ///< Receives the result of the wait.
     };
-    /** What other dispatchers said of one endpoint. */
+    /** Load of an endpoint as last reported by its dispatcher, plus requests of this entry since. */
     struct RemoteLoad
     {
-        double inFlight = 0; ///< Calls there, and own ones since.
-        double backlog = 0; ///< Their tokens.
+        double inFlight = 0; ///< Number of calls in flight.
+        double backlog = 0; ///< Their expected tokens.
     };
+    /** Messages to be sent to one dispatcher. */
     struct Outbox
     {
-        std::vector<std::uint64_t> asks; ///< Permits to ask for, or to tell of.
-        std::map<EndpointId, std::vector<std::uint64_t>> releases; ///< Not confirmed yet.
-        bool busy = false; ///< A batch is under way.
+        std::vector<std::uint64_t> requests; ///< Permits to request, or to report as running.
+        std::map<EndpointId, std::vector<std::uint64_t>> releases; ///< Releases that the dispatcher has not confirmed.
+        bool busy = false; ///< A batch is in flight.
     };
 
-    [[nodiscard]] const ListedEndpoint *listed(const EndpointId &endpoint) const;
-    [[nodiscard]] EntryId dispatcher(const EndpointId &endpoint) const;
-    [[nodiscard]] std::vector<const ListedEndpoint *> fitting(const DispatchDemand &demand, Instant now) const;
+    [[nodiscard]] const ListedEndpoint *findListed(const EndpointId &endpoint) const;
+    [[nodiscard]] EntryId dispatcherFor(const EndpointId &endpoint) const;
+    [[nodiscard]] std::vector<const ListedEndpoint *> eligibleEndpoints(
+        const DispatchRequest &request, Instant now) const;
     [[nodiscard]] EndpointEstimate estimate(const EndpointId &endpoint, const ProgramId &program) const;
-    [[nodiscard]] WaitingCall callOf(const Ticket &ticket) const;
-    [[nodiscard]] std::size_t liveEntries() const;
-    bool place(std::uint64_t id, Ticket &ticket, Instant now);
-    void ask(std::uint64_t id, Ticket &ticket);
-    void askHere(std::uint64_t id, Ticket &ticket);
-    void withdraw(std::uint64_t id, const Ticket &ticket);
+    [[nodiscard]] QueuedCall waitingCallFor(const LocalPermit &localPermit) const;
+    [[nodiscard]] std::size_t liveEntryCount() const;
+    bool selectEndpoint(std::uint64_t id, LocalPermit &localPermit, Instant now);
+    void requestPermit(std::uint64_t id, LocalPermit &localPermit);
+    void requestLocally(std::uint64_t id, LocalPermit &localPermit);
+    void releaseAtDispatcher(std::uint64_t id, const LocalPermit &localPermit);
     void grant(std::uint64_t id, bool fallback);
-    void refuse(std::uint64_t id, ErrorKind kind, const std::string &what);
-    void useFallback(const std::vector<std::uint64_t> &ids);
-    void publishGrants();
-    kj::Promise<void> tellGranted(const std::string &address, std::vector<std::uint64_t> permits);
-    void schedule(const EntryId &entry);
+    void reject(std::uint64_t id, ErrorKind kind, const std::string &what);
+    void grantFallbacks(const std::vector<std::uint64_t> &ids);
+    void deliverGrants();
+    kj::Promise<void> notifyGranted(const std::string &address, std::vector<std::uint64_t> permits);
+    void scheduleSend(const EntryId &entry);
     void send(const EntryId &entry);
-    kj::Promise<void> sendAsks(const std::string &address, const EntryId &entry, std::vector<std::uint64_t> ids);
+    kj::Promise<void> sendRequests(const std::string &address, const EntryId &entry, std::vector<std::uint64_t> ids);
     kj::Promise<void> sendReleases(const std::string &address, const EntryId &entry);
-    void takeReplies(const std::vector<std::uint64_t> &ids, capnp::List<Wire::PermitReply>::Reader replies);
-    [[nodiscard]] std::string addressOf(const EntryId &entry) const;
+    void handleReplies(const std::vector<std::uint64_t> &ids, capnp::List<Wire::PermitReply>::Reader replies);
+    [[nodiscard]] std::string rpcAddressOf(const EntryId &entry) const;
     void tick();
 
     ControlLoop &loop; ///< Outlives this.
     FleetFollower &follower; ///< Outlives this.
     PeerLinks &peers; ///< Outlives this.
-    std::atomic<std::shared_ptr<const EndpointList>> latest; ///< The platform's list; never null.
-    std::shared_ptr<const EndpointList> list; ///< The one in use on the control thread; never null.
-    PermitLedger ledger; ///< Endpoints that fall to this entry.
-    std::map<std::uint64_t, Ticket> tickets; ///< By permit id.
-    std::map<EntryId, Outbox> outboxes; ///< By dispatcher.
-    std::map<EndpointId, RemoteLoad> remoteLoads; ///< Of endpoints dispatched elsewhere.
-    std::map<EndpointId, std::size_t> fallbacks; ///< Permits in use without a dispatcher.
-    EndpointHealth health; ///< As this entry saw it.
-    PrefixIndex prefixes; ///< Of the programs that ran from here.
-    std::uint64_t choiceState = 0; ///< Of the choice's rule.
-    std::uint64_t lastPermit = 0; ///< Id of the last permit.
-    TimerSubscription ticking; ///< Runs `tick`; made on first use.
+    std::atomic<std::shared_ptr<const EndpointList>> platformList; ///< The latest list of the platform; never null.
+    std::shared_ptr<const EndpointList> endpointList; ///< The list in use on the control thread; never null.
+    PermitTable ledger; ///< Permits at the endpoints that this entry dispatches.
+    std::map<std::uint64_t, LocalPermit> localPermits; ///< Permits of this entry by id.
+    std::map<EntryId, Outbox> outboxes; ///< Outboxes by dispatcher.
+    std::map<EndpointId, RemoteLoad> remoteLoads; ///< Loads of the endpoints that other entries dispatch.
+    std::map<EndpointId, std::size_t> fallbacks; ///< Number of fallback grants by endpoint.
+    EndpointHealth health; ///< Health of the endpoints as seen by this entry.
+    PrefixIndex prefixes; ///< Cached prompt prefixes of programs that ran from this entry.
+    std::uint64_t selectionState = 0; ///< State of the selection policy.
+    std::uint64_t lastPermit = 0; ///< Id of the most recent permit.
+    TimerSubscription tickTimer; ///< Runs `tick`; started on first use.
 };
 
 } // namespace Chestnuthook
--- a/src/entry/forwarded_answer_base.cpp
+++ b/src/entry/request_forwarder_base.cpp
@@ -1,5 +1,5 @@
-/** @file forwarded_answer_base.cpp  The forwarding entry's side. */
-#include "entry/forwarded_answer_base.h"
+/** @file request_forwarder_base.cpp  Forwards requests and relays the responses. */
+#include "entry/request_forwarder_base.h"
 
 #include <algorithm>
 #include <condition_variable>
@@ -17,29 +17,29 @@
 namespace
 {
 
-constexpr auto LookPeriod = std::chrono::milliseconds(200);
+constexpr auto AbandonCheckInterval = std::chrono::milliseconds(200);
 
 } // namespace
 
-/** Between the control thread, which receives the answer, and the traffic thread, which writes it. */
-struct ForwardedAnswer::Pipe
+/** Passes the response from the control thread, which receives it, to the traffic thread, which writes it. */
+struct RequestForwarder::Pipe
 {
-    /** A piece of the answer. */
+    /** A piece of the response. */
     struct Piece
     {
         std::optional<int> status; ///< Set in the first piece.
-        std::vector<HttpHeader> headers; ///< Of the first piece.
-        std::string bytes; ///< Of the body.
+        std::vector<HttpHeader> headers; ///< Set in the first piece.
+        std::string bytes; ///< Part of the body.
     };
 
-    std::mutex mutex; ///< Guards all but `call`.
-    std::condition_variable changed; ///< A piece or the end came.
-    std::deque<Piece> pieces; ///< Not yet written.
-    bool ended = false; ///< The answer is whole.
-    bool failed = false; ///< The other entry is lost.
+    std::mutex mutex; ///< Guards all members except those for the control thread.
+    std::condition_variable changed; ///< Notified when a piece arrives or the response ends.
+    std::deque<Piece> pieces; ///< Pieces that were not written yet.
+    bool ended = false; ///< The response is complete.
+    bool failed = false; ///< The connection to the other entry failed.
     bool sent = false; ///< The request may have reached the other entry; for the control thread.
-    std::string what; ///< Why it failed.
-    kj::Maybe<kj::Promise<void>> call; ///< The call under way; for the control thread.
+    std::string what; ///< Reason of the failure.
+    kj::Maybe<kj::Promise<void>> call; ///< The RPC in progress; for the control thread.
 
     void push(Piece piece)
     {
@@ -49,11 +49,11 @@
         }
         this->changed.notify_all();
     }
-    void finish(bool whole, const std::string &error)
+    void finish(bool isComplete, const std::string &error)
     {
         {
             const std::lock_guard lock(this->mutex);
-            this->ended = this->ended || whole;
+            this->ended = this->ended || isComplete;
             this->failed = !this->ended;
             this->what = error;
         }
@@ -61,8 +61,8 @@
     }
 };
 
-/** Receives the answer on the control thread. */
-class ForwardedAnswer::Sink final : public Wire::AnswerSink::Server
+/** Receives the response on the control thread. */
+class RequestForwarder::Sink final : public Wire::AnswerSink::Server
 {
 public:
     explicit Sink(std::shared_ptr<Pipe> pipe)
@@ -91,16 +91,16 @@
     }
 
 private:
-    std::shared_ptr<Pipe> pipe; ///< To the traffic thread.
+    std::shared_ptr<Pipe> pipe; ///< Pipe to the traffic thread.
 };
 
-ForwardedAnswer::ForwardedAnswer(EntryContext &context, AnswerWriter &answer)
+RequestForwarder::RequestForwarder(EntryContext &context, ResponseWriter &writer)
     : context(context)
-    , answer(answer)
+    , writer(writer)
 {
 }
 
-Result<void> ForwardedAnswer::run(const std::string &address, const CallerRequest &request)
+Result<void> RequestForwarder::run(const std::string &address, const ClientRequest &request)
 {
     auto pipe = std::make_shared<Pipe>();
     this->context.loop.call([&]() {
@@ -114,7 +114,7 @@
                          })
                          .then(
                              [pipe = pipe.get()]() {
-                                 pipe->finish(false, "the answer ended early");
+                                 pipe->finish(false, "the response ended early");
                              },
                              [this, pipe = pipe.get(), address](kj::Exception &&exception) {
                                  if (exception.getType() == kj::Exception::Type::DISCONNECTED) {
@@ -125,7 +125,7 @@
                          .eagerlyEvaluate(nullptr);
     });
     KJ_DEFER(this->context.loop.call([&]() {
-        pipe->call = nullptr; // Cancels it where the caller has gone; the owner then stops reading.
+        pipe->call = nullptr; // Cancels the RPC if the client has gone; the owner is notified and stops.
     }););
     Pipe::Piece head;
     bool streamed = false;
@@ -134,7 +134,7 @@
         std::deque<Pipe::Piece> pieces;
         {
             std::unique_lock lock(pipe->mutex);
-            pipe->changed.wait_for(lock, LookPeriod, [&]() {
+            pipe->changed.wait_for(lock, AbandonCheckInterval, [&]() {
                 return !pipe->pieces.empty() || pipe->ended || pipe->failed;
             });
             pieces.swap(pipe->pieces);
@@ -147,39 +147,40 @@
                     return header.value == "text/event-stream";
                 });
                 if (streamed) {
-                    this->answer.start(*piece.status, piece.headers, -1);
+                    this->writer.start(*piece.status, piece.headers, -1);
                 }
             } else if (streamed) {
-                this->answer.write(piece.bytes);
+                this->writer.write(piece.bytes);
             } else {
-                head.bytes += piece.bytes; // Given to the caller only when it is whole.
+                head.bytes += piece.bytes; // Sent to the client only once it is complete.
             }
         }
-        if (open && !this->isListed(address)) {
-            pipe->finish(false, "its lease has ended");
+        if (open && !this->hasLease(address)) {
+            pipe->finish(false, "its lease has expired");
         }
-        open = open && !this->answer.isGone();
+        open = open && !this->writer.isAbandoned();
     }
-    if (pipe->failed && this->answer.isStarted()) {
-        const Error lost{ErrorKind::NotReady, "the entry that ran the call was lost; send again", Ran::Unknown, 0};
-        this->answer.write("event: error\ndata: " + errorJson(lost) + "\n\n");
+    if (pipe->failed && this->writer.isStarted()) {
+        const Error lost{
+            ErrorKind::NotReady, "the entry that ran the call was lost; send the request again", Ran::Unknown, 0};
+        this->writer.write("event: error\ndata: " + errorJson(lost) + "\n\n");
     }
     if (pipe->ended && !streamed && head.status) {
-        this->answer.start(*head.status, head.headers, static_cast<std::int64_t>(head.bytes.size()));
-        this->answer.write(head.bytes);
+        this->writer.start(*head.status, head.headers, static_cast<std::int64_t>(head.bytes.size()));
+        this->writer.write(head.bytes);
     }
-    if (pipe->ended || this->answer.isStarted()) {
-        this->answer.end();
+    if (pipe->ended || this->writer.isStarted()) {
+        this->writer.end();
         return {};
     }
     const bool sent = this->context.loop.call([&]() {
         return pipe->sent;
     });
-    return fail(
-        ErrorKind::NotReady, "the program's entry did not answer: " + pipe->what, sent ? Ran::Unknown : Ran::No);
+    return fail(ErrorKind::NotReady, "the entry that owns the program did not respond: " + pipe->what,
+        sent ? Ran::Unknown : Ran::No);
 }
 
-bool ForwardedAnswer::isListed(const std::string &address) const
+bool RequestForwarder::hasLease(const std::string &address) const
 {
     const auto view = this->context.follower.views.get();
     return std::any_of(view->entries.begin(), view->entries.end(), [&](const EntryRecord &entry) {
--- a/src/entry/request_handler_base.h
+++ b/src/entry/request_handler_base.h
@@ -1,4 +1,4 @@
-/** @file request_handler_base.h  Handles one request of a caller: finds its route, checks its key, admits it. */
+/** @file request_handler_base.h  Handles one HTTP request: routing, authentication and admission. */
 #pragma once
 
 #include <string>
@@ -9,8 +9,8 @@
 #include <Poco/Net/HTTPServerRequest.h>
 #include <Poco/Net/HTTPServerResponse.h>
 
-#include "entry/answer_writer_base.h"
 #include "entry/entry_context_type.h"
+#include "entry/response_writer_base.h"
 
 namespace Chestnuthook
 {
@@ -25,18 +25,18 @@
     using Request = Poco::Net::HTTPServerRequest;
     using Response = Poco::Net::HTTPServerResponse;
 
-    void route(Request &request, HttpAnswerWriter &answer);
-    void serveCaller(Request &request, HttpAnswerWriter &answer, const std::vector<std::string> &path);
-    void entries(Request &request, HttpAnswerWriter &answer);
-    void readyz(HttpAnswerWriter &answer);
+    void route(Request &request, HttpResponseWriter &writer);
+    void serveClient(Request &request, HttpResponseWriter &writer, const std::vector<std::string> &path);
+    void listEntries(Request &request, HttpResponseWriter &writer);
+    void readyz(HttpResponseWriter &writer);
 
-    /** Whom the request runs for. Errors: UnknownKey, NotReady. */
-    Result<Caller> authenticate(const Request &request, HttpAnswerWriter &answer);
+    /** Identifies the client by its API key. Errors: UnknownKey, NotReady. */
+    Result<ClientIdentity> authenticate(const Request &request, HttpResponseWriter &writer);
 
-    /** Whether the request is to a service that needs no key. */
-    bool isOpen(const Request &request, const std::vector<std::string> &path) const;
+    /** Whether the request is for a service route that needs no API key. */
+    bool isPublicRoute(const Request &request, const std::vector<std::string> &path) const;
 
-    EntryContext &context; ///< Of the entry.
+    EntryContext &context; ///< Shared state of the entry.
 };
 
 class RequestHandlerFactory final : public Poco::Net::HTTPRequestHandlerFactory
@@ -52,7 +52,7 @@
     }
 
 private:
-    EntryContext &context; ///< Of the entry.
+    EntryContext &context; ///< Shared state of the entry.
 };
 
 } // namespace Chestnuthook
--- a/src/program/program_type.cpp
+++ b/src/program/program_type.cpp
@@ -1,4 +1,4 @@
-/** @file program_type.cpp  Program records on the wire. */
+/** @file program_type.cpp  Serialisation of program records. */
 #include "program/program_type.h"
 
 #include "rpc/message_func.h"
@@ -32,8 +32,8 @@
 
 const CallRecord *ProgramRecord::find(CallNumber number) const
 {
-    const bool present = number.value >= 1 && number.value <= this->calls.size();
-    return present ? &this->calls[number.value - 1] : nullptr;
+    const bool exists = number.value >= 1 && number.value <= this->calls.size();
+    return exists ? &this->calls[number.value - 1] : nullptr;
 }
 
 void writeBudget(Wire::Budget::Builder builder, const Budget &budget)
@@ -94,7 +94,7 @@
 void writeProgram(Wire::Program::Builder builder, const ProgramRecord &program)
 {
     builder.setId(wireText(program.id.text));
-    builder.setTenant(wireText(program.tenant.text));
+    builder.setTenant(wireText(program.customer.text));
     builder.setParent(wireText(program.parent.text));
     writeIds(builder.initChildren(static_cast<unsigned>(program.children.size())), program.children);
     writeBudget(builder.initBudget(), program.budget);
@@ -114,7 +114,7 @@
 {
     ProgramRecord program;
     program.id = ProgramId{textOf(reader.getId())};
-    program.tenant = TenantId{textOf(reader.getTenant())};
+    program.customer = CustomerId{textOf(reader.getTenant())};
     program.parent = ProgramId{textOf(reader.getParent())};
     program.children = readIds<ProgramId>(reader.getChildren());
     program.budget = readBudget(reader.getBudget());
--- a/src/timeline/main.cpp
+++ b/src/timeline/main.cpp
@@ -1,4 +1,5 @@
-/** @file main.cpp  chestnuthook-timeline: merges the events of all processes into text, trace JSON and a page. */
+/** @file main.cpp  chestnuthook-timeline: merges the events of all processes and writes them as text, as trace event
+ * JSON and as an HTML page. */
 #include <cstdlib>
 #include <fstream>
 #include <iostream>
@@ -41,7 +42,7 @@
     {"trace", "output", {}, "name a file that this user may write"},
 };
 
-std::vector<std::string> listOf(const std::string &text)
+std::vector<std::string> splitOptionalList(const std::string &text)
 {
     return text.empty() ? std::vector<std::string>() : splitList(text);
 }
@@ -61,10 +62,10 @@
     return true;
 }
 
-Result<Timeline> readAll()
+Result<Timeline> readTimeline()
 {
     Timeline timeline;
-    for (const std::string &address : listOf(FLAGS_sources)) {
+    for (const std::string &address : splitOptionalList(FLAGS_sources)) {
         readEntryEvents(address, timeline);
     }
     if (!FLAGS_controls.empty()) {
@@ -72,13 +73,13 @@
         if (!secret) {
             return tl::unexpected(secret.error());
         }
-        readMemberEvents(*secret, listOf(FLAGS_controls), timeline);
+        readControlEvents(*secret, splitOptionalList(FLAGS_controls), timeline);
     }
-    for (const std::string &path : listOf(FLAGS_logs)) {
+    for (const std::string &path : splitOptionalList(FLAGS_logs)) {
         readLogFile(path, timeline);
     }
     mergeEvents(timeline.events);
-    timeline.events = followEvents(timeline.events, {FLAGS_program, FLAGS_tenant, FLAGS_endpoint, FLAGS_key_id});
+    timeline.events = filterEvents(timeline.events, {FLAGS_program, FLAGS_tenant, FLAGS_endpoint, FLAGS_key_id});
     return timeline;
 }
 
@@ -87,15 +88,15 @@
 int main(int argc, char **argv)
 {
     SettingsOutcome outcome = loadSettings(argc, argv, Settings, {"CHESTNUTHOOK_SECRET"});
-    refuseWords(outcome, argc, argv);
+    rejectPositionalArguments(outcome, argc, argv);
     if (const auto code = reportSettings(outcome)) {
         return *code;
     }
     if (FLAGS_sources.empty() && FLAGS_controls.empty() && FLAGS_logs.empty()) {
-        std::cerr << "bad_setting: there is nothing to read; give --sources, --controls or --logs\n";
+        std::cerr << "bad_setting: no event sources are configured; give --sources, --controls or --logs\n";
         return errorRow(ErrorKind::BadSetting).exitCode;
     }
-    const Result<Timeline> timeline = readAll();
+    const Result<Timeline> timeline = readTimeline();
     if (!timeline) {
         std::cerr << errorText(timeline.error()) << '\n';
         return errorRow(timeline.error().kind).exitCode;
--- a/tests/process/load_test.cpp
+++ b/tests/process/load_test.cpp
@@ -1,4 +1,4 @@
-/** @file load_test.cpp  The load tool against a real fleet, with faults on a schedule. */
+/** @file load_test.cpp  Runs the load tool with a fault schedule against a real fleet. */
 #define BOOST_TEST_MODULE load_tool
 #include <fstream>
 #include <string>
@@ -22,13 +22,13 @@
     return text;
 }
 
-/** Writes what scripts/fleet leaves in its folder. */
+/** Writes the files fleet.env and pids as scripts/fleet does. */
 void writeFleetFolder(const ProcessFleet &fleet, const std::string &folder)
 {
     std::ofstream(folder + "/fleet.env") << "ENTRIES=" << joined(fleet.entryAddresses)
                                          << "\nENGINES=" << joined(fleet.engineAddresses)
                                          << "\nSERVICES=" << joined(fleet.serviceAddresses) << "\nMODEL=" << fleet.model
-                                         << "\nSERVICE=" << fleet.service << "\nKEY_" << fleet.tenant << "="
+                                         << "\nSERVICE=" << fleet.service << "\nKEY_" << fleet.customer << "="
                                          << fleet.key << "\n";
     std::ofstream(folder + "/pids") << "engine-2 " << fleet.processes.at("engine-1")->pid << "\n";
 }
@@ -40,9 +40,9 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(a_run_with_faults_reports_measures_promises_and_what_was_done)
+BOOST_AUTO_TEST_CASE(a_run_reports_measures_guarantees_and_injected_faults)
 {
-    FleetSize size;
+    FleetOptions size;
     size.entries = 2;
     size.engines = 2;
     ProcessFleet fleet(size);
@@ -68,7 +68,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(a_folder_without_a_fleet_and_missing_settings_are_told_with_a_remedy)
+BOOST_AUTO_TEST_CASE(a_missing_fleet_or_setting_is_an_error_with_a_remedy)
 {
     const TemporaryFolder folder;
     const CommandResult none = runCommand("chestnuthook-load", {"--fleet=" + folder.path});
--- a/tests/support/process_fleet.cpp
+++ b/tests/support/process_fleet.cpp
@@ -1,4 +1,4 @@
-/** @file process_fleet.cpp  Processes, requests and waiting for tests. */
+/** @file process_fleet.cpp  Child processes, HTTP requests, reserved addresses and polling for tests. */
 #include "support/process_fleet.h"
 
 #include <cerrno>
@@ -29,8 +29,8 @@
 namespace
 {
 
-constexpr long AnswerSeconds = 60;
-constexpr auto LookPeriod = std::chrono::milliseconds(20);
+constexpr long ResponseTimeoutSeconds = 60;
+constexpr auto PollInterval = std::chrono::milliseconds(20);
 
 std::string binaryPath(const std::string &binary)
 {
@@ -44,7 +44,7 @@
     return (folder == nullptr ? std::string(".") : std::string(folder)) + "/" + path;
 }
 
-std::vector<std::string> environmentWith(const std::vector<std::string> &added)
+std::vector<std::string> childEnvironment(const std::vector<std::string> &added)
 {
     std::vector<std::string> environment;
     for (char **variable = environ; *variable != nullptr; ++variable) {
@@ -56,7 +56,7 @@
     return environment;
 }
 
-std::vector<char *> pointersTo(std::vector<std::string> &texts)
+std::vector<char *> toArgumentPointers(std::vector<std::string> &texts)
 {
     std::vector<char *> pointers;
     pointers.reserve(texts.size() + 1);
@@ -72,17 +72,17 @@
 {
     const std::string path = binaryPath(binary);
     arguments.insert(arguments.begin(), path);
-    std::vector<std::string> variables = environmentWith(environment);
+    std::vector<std::string> variables = childEnvironment(environment);
     posix_spawn_file_actions_t actions;
     posix_spawn_file_actions_init(&actions);
     posix_spawn_file_actions_addopen(&actions, STDIN_FILENO, "/dev/null", O_RDONLY, 0);
     posix_spawn_file_actions_addopen(&actions, STDOUT_FILENO, logFile.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0600);
     posix_spawn_file_actions_adddup2(&actions, STDOUT_FILENO, STDERR_FILENO);
-    // Connections of the test must end when the test closes them, not when the program ends.
+    // A child that inherits the sockets of the test would keep connections open that the test has closed.
     posix_spawn_file_actions_addclosefrom_np(&actions, STDERR_FILENO + 1);
     pid_t pid = -1;
-    const int error =
-        posix_spawn(&pid, path.c_str(), &actions, nullptr, pointersTo(arguments).data(), pointersTo(variables).data());
+    const int error = posix_spawn(&pid, path.c_str(), &actions, nullptr, toArgumentPointers(arguments).data(),
+        toArgumentPointers(variables).data());
     posix_spawn_file_actions_destroy(&actions);
     if (error != 0) {
         throw std::runtime_error("can't start " + path);
@@ -98,7 +98,7 @@
     HttpAnswer answer;
     try {
         Poco::Net::HTTPClientSession session{Poco::Net::SocketAddress(address)};
-        session.setTimeout(Poco::Timespan(AnswerSeconds, 0));
+        session.setTimeout(Poco::Timespan(ResponseTimeoutSeconds, 0));
         session.setKeepAlive(false);
         Poco::Net::HTTPRequest request(method, path, Poco::Net::HTTPMessage::HTTP_1_1);
         for (const auto &[name, value] : headers) {
@@ -149,13 +149,13 @@
     }
 }
 
-int ChildProcess::wait(std::chrono::milliseconds patience)
+int ChildProcess::wait(std::chrono::milliseconds timeout)
 {
     waitUntil(
         [this]() {
             return !this->isRunning();
         },
-        patience);
+        timeout);
     return this->exitCode;
 }
 
@@ -173,14 +173,14 @@
     return false;
 }
 
-bool waitUntil(const std::function<bool()> &condition, std::chrono::milliseconds patience)
+bool waitUntil(const std::function<bool()> &condition, std::chrono::milliseconds timeout)
 {
-    const auto end = std::chrono::steady_clock::now() + patience;
+    const auto end = std::chrono::steady_clock::now() + timeout;
     while (!condition()) {
         if (std::chrono::steady_clock::now() >= end) {
             return false;
         }
-        std::this_thread::sleep_for(LookPeriod);
+        std::this_thread::sleep_for(PollInterval);
     }
     return true;
 }
@@ -196,21 +196,22 @@
     return result;
 }
 
-std::string heldAddress(const std::string &ip, unsigned short port)
+std::string reserveAddress(const std::string &ip, unsigned short port)
 {
-    // Bound until the test ends: neither a bind to port 0 nor an outgoing connection of another process then gets the
-    // port, while a program that listens with SO_REUSEADDR can.
+    // The sockets stay bound, without listening, until the test process ends. Another process then gets the port
+    // neither by a bind to port 0 nor for an outgoing connection, while a program that binds it with SO_REUSEADDR can
+    // listen on it.
     static std::vector<Poco::Net::ServerSocket> held;
     held.emplace_back();
     held.back().bind(Poco::Net::SocketAddress(ip, port), true, false);
     return held.back().address().toString();
 }
 
-std::vector<std::string> freeAddresses(int count)
+std::vector<std::string> reserveLoopbackAddresses(int count)
 {
     std::vector<std::string> addresses(static_cast<std::size_t>(count));
     for (std::string &address : addresses) {
-        address = heldAddress("127.0.0.1");
+        address = reserveAddress("127.0.0.1");
     }
     return addresses;
 }
@@ -219,7 +220,7 @@
 {
     std::string pattern = (std::filesystem::temp_directory_path() / "chestnuthook-XXXXXX").string();
     if (::mkdtemp(pattern.data()) == nullptr) {
-        throw std::runtime_error("no temporary folder");
+        throw std::runtime_error("can't create a temporary folder");
     }
     this->path = pattern;
 }
@@ -239,29 +240,29 @@
     return {std::istreambuf_iterator<char>(stream), {}};
 }
 
-ProcessFleet::ProcessFleet(FleetSize wanted)
-    : size(std::move(wanted))
+ProcessFleet::ProcessFleet(FleetOptions wanted)
+    : options(std::move(wanted))
 {
-    const bool verse = this->size.site == "kortagatt";
-    this->tenant = verse ? "bjarkaprent" : "tamarbond";
+    const bool verse = this->options.site == "kortagatt";
+    this->customer = verse ? "bjarkaprent" : "tamarbond";
     this->model = verse ? "verse" : "order";
     this->service = verse ? "print" : "dispatch";
     std::string pattern = (std::filesystem::temp_directory_path() / "chestnuthook-fleet-XXXXXX").string();
     this->folder = ::mkdtemp(pattern.data());
     std::ofstream(this->folder + "/secret") << "a secret of this test fleet";
-    const std::vector<std::string> addresses =
-        freeAddresses(1 + this->size.controls + 2 * this->size.entries + this->size.engines + this->size.services);
+    const std::vector<std::string> addresses = reserveLoopbackAddresses(
+        1 + this->options.controls + 2 * this->options.entries + this->options.engines + this->options.services);
     auto next = addresses.begin();
     this->platformAddress = *next++;
     const auto take = [&next](std::vector<std::string> &list, int count) {
         list.assign(next, next + count);
         next += count;
     };
-    take(this->controlAddresses, this->size.controls);
-    take(this->entryAddresses, this->size.entries);
-    take(this->entryRpcAddresses, this->size.entries);
-    take(this->engineAddresses, this->size.engines);
-    take(this->serviceAddresses, this->size.services);
+    take(this->controlAddresses, this->options.controls);
+    take(this->entryAddresses, this->options.entries);
+    take(this->entryRpcAddresses, this->options.entries);
+    take(this->engineAddresses, this->options.engines);
+    take(this->serviceAddresses, this->options.services);
     std::string endpoints;
     for (const std::string &address : this->engineAddresses) {
         endpoints += (endpoints.empty() ? "" : ",") + address + "/engine/" + this->model + "/dc1";
@@ -281,7 +282,7 @@
         this->startControl(i);
     }
     const std::vector<std::string> apply = {
-        "apply", sourcePath("deploy/base.yaml"), sourcePath("deploy/" + this->size.site + ".yaml")};
+        "apply", sourcePath("deploy/base.yaml"), sourcePath("deploy/" + this->options.site + ".yaml")};
     if (!waitUntil([&]() {
             return this->ctl(apply).exitCode == 0;
         })) {
@@ -290,17 +291,17 @@
     for (std::size_t i = 0; i < this->entryAddresses.size(); ++i) {
         this->startEntry(i);
     }
-    this->key = this->issueKey(this->tenant);
+    this->key = this->issueKey(this->customer);
     for (std::size_t i = 0; i < this->entryAddresses.size(); ++i) {
         const std::string &address = this->entryAddresses[i];
         if (!waitUntil([&]() {
                 return http(address, "GET", "/readyz").status == 200;
             })) {
-            throw std::runtime_error("entry " + address + " is not ready; its output ends:\n"
-                + this->outputEnd("entry-" + std::to_string(i)) + this->endedProcesses());
+            throw std::runtime_error("entry " + address + " is not ready; the end of its output:\n"
+                + this->outputTail("entry-" + std::to_string(i)) + this->describeExitedProcesses());
         }
     }
-    // All entries must hold the key before a test begins.
+    // Keys reach the entries with a delay, and a test must not begin with an entry that still answers 401.
     for (const std::string &address : this->entryAddresses) {
         waitUntil([&]() {
             return httpAs(this->key, address, "GET", "/v1/programs/none").status != 401;
@@ -317,19 +318,19 @@
     }
 }
 
-std::string ProcessFleet::outputEnd(const std::string &name) const
+std::string ProcessFleet::outputTail(const std::string &name) const
 {
     constexpr std::size_t Shown = 3000;
     const std::string output = readFile(this->folder + "/" + name + ".log");
     return output.substr(output.size() - std::min(output.size(), Shown));
 }
 
-std::string ProcessFleet::endedProcesses()
+std::string ProcessFleet::describeExitedProcesses()
 {
     std::string text;
     for (const auto &[name, process] : this->processes) {
         if (!process->isRunning()) {
-            text += name + " has ended by itself; its output ends:\n" + this->outputEnd(name);
+            text += name + " exited unexpectedly; the end of its output:\n" + this->outputTail(name);
         }
     }
     return text;
@@ -346,13 +347,13 @@
 {
     const std::string name = "control-" + std::to_string(index);
     std::string members;
-    for (std::size_t i = 0; i < static_cast<std::size_t>(this->size.controls); ++i) {
+    for (std::size_t i = 0; i < static_cast<std::size_t>(this->options.controls); ++i) {
         members += (i == 0 ? "" : ",") + ("control-" + std::to_string(i)) + "=" + this->controlAddresses[i];
     }
     std::vector<std::string> arguments = {"--listen=" + this->controlAddresses[index], "--member=" + name,
-        index < static_cast<std::size_t>(this->size.controls) ? "--members=" + members : "--join", "--test_hooks",
+        index < static_cast<std::size_t>(this->options.controls) ? "--members=" + members : "--join", "--test_hooks",
         "--data=" + this->folder + "/" + name, "--secret_file=" + this->folder + "/secret"};
-    arguments.insert(arguments.end(), this->size.controlFlags.begin(), this->size.controlFlags.end());
+    arguments.insert(arguments.end(), this->options.controlFlags.begin(), this->options.controlFlags.end());
     this->start(name, "chestnuthook-control", std::move(arguments));
 }
 
@@ -367,7 +368,7 @@
         "--rpc_listen=" + this->entryRpcAddresses[index], "--controls=" + controls,
         "--platform=" + this->platformAddress, "--entry=" + name, "--data_centre=dc1",
         "--secret_file=" + this->folder + "/secret"};
-    arguments.insert(arguments.end(), this->size.entryFlags.begin(), this->size.entryFlags.end());
+    arguments.insert(arguments.end(), this->options.entryFlags.begin(), this->options.entryFlags.end());
     this->start(name, "chestnuthook-entry", std::move(arguments));
 }
 
@@ -375,7 +376,7 @@
 {
     std::vector<std::string> arguments = {
         "engine", "--listen=" + this->engineAddresses[index], "--models=" + this->model};
-    arguments.insert(arguments.end(), this->size.engineFlags.begin(), this->size.engineFlags.end());
+    arguments.insert(arguments.end(), this->options.engineFlags.begin(), this->options.engineFlags.end());
     this->start("engine-" + std::to_string(index), "chestnuthook-fakes", std::move(arguments));
 }
 
@@ -392,7 +393,7 @@
 
 std::string ProcessFleet::sitePath() const
 {
-    return sourcePath("deploy/" + this->size.site + ".yaml");
+    return sourcePath("deploy/" + this->options.site + ".yaml");
 }
 
 CommandResult ProcessFleet::ctl(std::vector<std::string> arguments) const
@@ -402,16 +403,16 @@
         controls += (controls.empty() ? "" : ",") + address;
     }
     arguments.insert(arguments.begin(), {"--controls=" + controls, "--secret_file=" + this->folder + "/secret"});
-    arguments.insert(arguments.begin(), this->size.ctlFlags.begin(), this->size.ctlFlags.end());
+    arguments.insert(arguments.begin(), this->options.ctlFlags.begin(), this->options.ctlFlags.end());
     return runCommand("chestnuthook-ctl", std::move(arguments));
 }
 
-std::string ProcessFleet::issueKey(const std::string &forTenant) const
+std::string ProcessFleet::issueKey(const std::string &forCustomer) const
 {
-    const CommandResult issued = this->ctl({"keys", "issue", forTenant});
+    const CommandResult issued = this->ctl({"keys", "issue", forCustomer});
     const std::size_t at = issued.output.find("key chk-");
     if (issued.exitCode != 0 || at == std::string::npos) {
-        throw std::runtime_error("no key: " + issued.output);
+        throw std::runtime_error("can't issue a key: " + issued.output);
     }
     std::string issuedKey;
     std::istringstream(issued.output.substr(at + 4)) >> issuedKey;
@@ -429,7 +430,7 @@
     const HttpAnswer created = this->ask(index, "POST", "/v1/programs", body);
     const std::size_t at = created.body.find("\"id\":\"");
     if (created.status != 201 || at == std::string::npos) {
-        throw std::runtime_error("no program: " + created.body);
+        throw std::runtime_error("can't create a program: " + created.body);
     }
     const std::size_t begin = at + 6;
     return created.body.substr(begin, created.body.find('"', begin) - begin);
--- a/tests/unit/admission_simulation_test.cpp
+++ b/tests/unit/admission_simulation_test.cpp
@@ -1,5 +1,6 @@
-/** @file admission_simulation_test.cpp  The fleet-wide bound on a tenant's requests under owner kill, pause, isolation
- * and slot moves at once: real fleet state, lease keeper and buckets in virtual time, with fixed seeds. */
+/** @file admission_simulation_test.cpp  Simulation of the fleet-wide rate limit of one customer while owners of its
+ * slot are killed, paused, isolated and replaced. Runs the real fleet state, lease keeper and buckets in virtual time
+ * with fixed seeds. */
 #define BOOST_TEST_MODULE admission_simulation
 #include <boost/test/unit_test.hpp>
 
@@ -9,8 +10,8 @@
 
 #include <capnp/message.h>
 
-#include "admission/bucket_owner_base.h"
-#include "control/lease_keeper_base.h"
+#include "admission/customer_rate_limiter_base.h"
+#include "control/entry_lease_tracker_base.h"
 #include "policy/random_func.h"
 #include "rpc/message_func.h"
 
@@ -22,26 +23,26 @@
 constexpr Duration Ms = std::chrono::milliseconds(1);
 constexpr Duration SyncPeriod = 250 * Ms;
 constexpr Duration Freshness = 3000 * Ms;
-constexpr Duration AskTimeout = 500 * Ms;
+constexpr Duration RequestTimeout = 500 * Ms;
 constexpr Duration RunTime = 90'000 * Ms;
 
-/** An entry process as the network and the scheduler treat it. */
+/** An entry process, with the faults that the network and the operating system impose on it. */
 struct SimulatedEntry
 {
-    EntryId id; ///< A restarted process has a new one.
-    Epoch lease; ///< As it knows.
-    BucketOwner owner; ///< The code under test.
-    std::vector<SlotRecord> slots; ///< Its view.
-    std::set<EntryId> leased; ///< Its view.
-    Instant freshUntil; ///< Of its view.
-    Instant pausedUntil; ///< Nothing runs in it before.
-    Instant isolatedUntil; ///< No message reaches or leaves it before.
-    bool draining = false; ///< Asks for no slots.
-    bool dead = false; ///< Was killed.
+    EntryId id; ///< Each process has its own; none is reused after a restart.
+    Epoch lease; ///< Epoch of its lease, as far as it knows.
+    CustomerRateLimiter owner; ///< Code under test.
+    std::vector<SlotRecord> slots; ///< Slots in its view.
+    std::set<EntryId> leased; ///< Entries with a lease in its view.
+    Instant freshUntil; ///< Time until which its view is valid.
+    Instant pausedUntil; ///< The process does not run before this time.
+    Instant isolatedUntil; ///< No message reaches or leaves the process before this time.
+    bool draining = false; ///< The entry asks to own no slots.
+    bool dead = false; ///< The process was killed.
 };
 using EntryPointer = std::shared_ptr<SimulatedEntry>;
 
-/** How the run differs from the real rules; to show that the check sees the failure. */
+/** Rules of a run. BucketPerEntry breaks the limit, to show that the check detects that. */
 enum class Rules { Real, BucketPerEntry };
 
 class Simulation
@@ -51,7 +52,7 @@
         : random(seed)
         , rules(rules)
     {
-        this->tenant = TenantDeclaration{TenantId{"tamarbond"}, 40, 80, 1};
+        this->customer = CustomerDeclaration{CustomerId{"tamarbond"}, 40, 80, 1};
         for (int i = 0; i < 4; ++i) {
             this->join();
         }
@@ -79,26 +80,26 @@
         }
     }
 
-    /** The most by which any window is over burst + rate * w. */
+    /** Largest excess of any window of length w over burst + rate * w, in requests. */
     [[nodiscard]] double worstExcess() const
     {
         std::vector<Instant> sorted = this->used;
         std::sort(sorted.begin(), sorted.end());
         double worst = 0;
-        double lowest = 0; // Of (index - rate * time) over earlier starts of the window.
+        double lowest = 0; // Least (index - rate * time) over all earlier starts of a window.
         for (std::size_t i = 0; i < sorted.size(); ++i) {
-            const double earned = this->tenant.ratePerSecond * static_cast<double>(sorted[i].us) / 1e6;
+            const double earned = this->customer.ratePerSecond * static_cast<double>(sorted[i].us) / 1e6;
             const double here = static_cast<double>(i) - earned;
             lowest = i == 0 ? here : std::min(lowest, here);
-            worst = std::max(worst, here + 1 - lowest - this->tenant.burst);
+            worst = std::max(worst, here + 1 - lowest - this->customer.burst);
         }
         return worst;
     }
 
-    std::vector<Instant> used; ///< When requests were let through, at any entry.
-    int refused = 0; ///< Requests over the rate.
-    int moves = 0; ///< Changes of the tenant's owner.
-    double offeredPerSecond = 120; ///< By all callers together.
+    std::vector<Instant> used; ///< Times when requests were admitted, at any entry.
+    int refused = 0; ///< Requests refused as over the rate.
+    int moves = 0; ///< Changes of the owner of the customer's slot.
+    double offeredPerSecond = 120; ///< Requests per second of all callers together.
 
 private:
     void at(Instant due, std::function<void()> action)
@@ -110,7 +111,8 @@
         return Duration(200 + static_cast<std::int64_t>(nextRandom(this->random) % 4000));
     }
 
-    /** Runs @p action in @p entry once it runs; a message is lost where the entry is isolated on the way. */
+    /** Runs @p action in @p entry at @p due, or when the entry's pause ends. A message is lost if the entry is isolated
+     * when it arrives. */
     void inEntry(Instant due, EntryPointer entry, bool message, std::function<void()> action)
     {
         this->at(due, [this, entry, message, action]() {
@@ -136,7 +138,7 @@
     }
     EntryId ownerNow() const
     {
-        const SlotRecord *record = this->fleet.slots.find(slotOf(this->tenant.id.text));
+        const SlotRecord *record = this->fleet.slots.find(slotOf(this->customer.id.text));
         return record == nullptr ? EntryId{} : record->owner;
     }
 
@@ -185,7 +187,7 @@
         if (this->leases.isEnding(entry->id, lease)) {
             return;
         }
-        this->leases.heard(entry->id, HeardEntry{this->now, 0, 0, Epoch{}});
+        this->leases.recordContact(entry->id, EntryContact{this->now, 0, 0, Epoch{}});
         std::vector<SlotRecord> slots(SlotCount);
         for (const auto &[slot, row] : this->fleet.slots.all()) {
             slots[slot.value] = row.record;
@@ -201,26 +203,26 @@
             entry->slots = slots;
             entry->leased = leased;
             entry->freshUntil = std::max(entry->freshUntil, sentAt + Freshness);
-            entry->owner.update(SlotFacts{entry->id, &entry->slots, entry->leased}, this->now);
+            entry->owner.update(SlotSnapshot{entry->id, &entry->slots, entry->leased}, this->now);
             this->handOver(entry);
         });
     }
 
     void handOver(EntryPointer successor)
     {
-        const SlotFacts facts{successor->id, &successor->slots, successor->leased};
-        for (const WantedHandover &wanted : successor->owner.tenures.wanted(facts, this->now)) {
-            if (wanted.slot != slotOf(this->tenant.id.text)) {
+        const SlotSnapshot snapshot{successor->id, &successor->slots, successor->leased};
+        for (const HandoverRequest &handover : successor->owner.slotOwnerships.pendingHandovers(snapshot, this->now)) {
+            if (handover.slot != slotOf(this->customer.id.text)) {
                 continue;
             }
             for (const EntryPointer &former : this->entries) {
-                if (former->id == wanted.former && this->now >= successor->isolatedUntil) {
-                    this->inEntry(this->now + this->latency(), former, true, [this, former, successor, wanted]() {
+                if (former->id == handover.former && this->now >= successor->isolatedUntil) {
+                    this->inEntry(this->now + this->latency(), former, true, [this, former, successor, handover]() {
                         const auto levels =
-                            former->owner.giveUp(wanted.slot, wanted.formerEpoch, {this->tenant}, this->now);
+                            former->owner.releaseSlot(handover.slot, handover.formerEpoch, {this->customer}, this->now);
                         if (levels) {
                             this->inEntry(this->now + this->latency(), successor, true, [=, this]() {
-                                successor->owner.adopt(wanted, *levels, this->now);
+                                successor->owner.adopt(handover, *levels, this->now);
                             });
                         }
                     });
@@ -231,8 +233,8 @@
 
     void expire()
     {
-        for (const EntryRecord &entry : this->leases.expired(this->fleet, this->now)) {
-            // The end is committed some time after it was proposed; syncs may arrive in between.
+        for (const EntryRecord &entry : this->leases.markExpired(this->fleet, this->now)) {
+            // The end of a lease is committed some time after the proposal; syncs may arrive in between.
             const auto commit = static_cast<std::int64_t>(nextRandom(this->random) % 1000);
             this->at(this->now + commit * Ms, [this, entry]() {
                 this->apply([&](Wire::FleetCommand::Builder command) {
@@ -249,65 +251,65 @@
 
     void load()
     {
-        const EntryPointer asker = this->entries[nextRandom(this->random) % this->entries.size()];
-        this->inEntry(this->now, asker, false, [this, asker]() {
-            this->ask(asker);
+        const EntryPointer requester = this->entries[nextRandom(this->random) % this->entries.size()];
+        this->inEntry(this->now, requester, false, [this, requester]() {
+            this->requestAdmission(requester);
         });
-        // Bursts and lulls, so that buckets are both full and empty when faults come.
-        const bool lull = (this->now.us / 7'000'000) % 3 == 0;
-        const double mean = 1e6 / this->offeredPerSecond * (lull ? 20 : 1);
-        this->at(this->now + Duration(1 + static_cast<std::int64_t>(2 * mean * nextUnit(this->random))), [this]() {
+        // Bursts and quiet periods, so that buckets are both full and empty when faults occur.
+        const bool isQuiet = (this->now.us / 7'000'000) % 3 == 0;
+        const double mean = 1e6 / this->offeredPerSecond * (isQuiet ? 20 : 1);
+        this->at(this->now + Duration(1 + static_cast<std::int64_t>(2 * mean * nextUniform(this->random))), [this]() {
             this->load();
         });
     }
 
-    void ask(EntryPointer asker)
+    void requestAdmission(EntryPointer requester)
     {
-        if (asker->freshUntil <= this->now || asker->slots.empty()) {
+        if (requester->freshUntil <= this->now || requester->slots.empty()) {
             return;
         }
-        const EntryId owner = asker->slots[slotOf(this->tenant.id.text).value].owner;
+        const EntryId owner = requester->slots[slotOf(this->customer.id.text).value].owner;
         if (this->rules == Rules::BucketPerEntry) {
-            this->askOwnBucket(asker);
+            this->requestFromOwnBucket(requester);
             return;
         }
-        const Instant askedAt = this->now;
+        const Instant requestedAt = this->now;
         for (const EntryPointer &entry : this->entries) {
-            if (entry->id != owner || (owner != asker->id && this->now < asker->isolatedUntil)) {
+            if (entry->id != owner || (owner != requester->id && this->now < requester->isolatedUntil)) {
                 continue;
             }
-            const bool remote = entry != asker;
+            const bool remote = entry != requester;
             this->inEntry(this->now + (remote ? this->latency() : Duration(0)), entry, remote, [=, this]() {
-                const AdmitVerdict verdict = entry->owner.admit(this->tenant, 1, this->now, entry->freshUntil);
-                this->inEntry(this->now + (remote ? this->latency() : Duration(0)), asker, remote, [=, this]() {
-                    this->take(asker, verdict, askedAt);
+                const AdmissionDecision decision = entry->owner.admit(this->customer, 1, this->now, entry->freshUntil);
+                this->inEntry(this->now + (remote ? this->latency() : Duration(0)), requester, remote, [=, this]() {
+                    this->useGrant(requester, decision, requestedAt);
                 });
             });
         }
     }
 
-    void take(EntryPointer asker, const AdmitVerdict &verdict, Instant askedAt)
+    void useGrant(EntryPointer requester, const AdmissionDecision &decision, Instant requestedAt)
     {
-        if (verdict.delays.empty()) {
-            this->refused += verdict.state == AdmitState::Decided;
+        if (decision.delays.empty()) {
+            this->refused += decision.state == AdmissionState::Decided;
             return;
         }
-        const bool timedOut = this->now > askedAt + AskTimeout;
+        const bool timedOut = this->now > requestedAt + RequestTimeout;
         if (timedOut) {
             return;
         }
-        const Duration delay = verdict.delays.front();
-        this->inEntry(this->now + delay, asker, false, [this, askedAt, delay]() {
-            if (this->now <= askedAt + delay + GrantLife) {
+        const Duration delay = decision.delays.front();
+        this->inEntry(this->now + delay, requester, false, [this, requestedAt, delay]() {
+            if (this->now <= requestedAt + delay + GrantTtl) {
                 this->used.push_back(this->now);
             }
         });
     }
 
-    void askOwnBucket(const EntryPointer &asker)
+    void requestFromOwnBucket(const EntryPointer &requester)
     {
-        const auto [bucket, added] = this->ownBuckets.try_emplace(asker->id, this->now);
-        bucket->second.declare(this->tenant.ratePerSecond, this->tenant.burst, this->now);
+        const auto [bucket, added] = this->ownBuckets.try_emplace(requester->id, this->now);
+        bucket->second.declare(this->customer.ratePerSecond, this->customer.burst, this->now);
         if (added) {
             bucket->second.fill();
         }
@@ -316,7 +318,7 @@
         }
     }
 
-    /** Strikes the tenant's owner mostly, and often a second entry at the same time. */
+    /** Injects a fault at the owner of the customer's slot, and at times into a random second entry at once. */
     void fault()
     {
         const bool twice = nextRandom(this->random) % 3 == 0;
@@ -356,34 +358,34 @@
         });
     }
 
-    std::uint64_t random; ///< State of the generator.
-    Rules rules; ///< Of the run.
+    std::uint64_t random; ///< State of the random generator.
+    Rules rules; ///< Rules of the run.
     Instant now; ///< Virtual time.
-    TenantDeclaration tenant; ///< The one that is watched.
-    FleetState fleet; ///< As committed.
-    LeaseKeeper leases; ///< Of the leader.
-    std::vector<EntryPointer> entries; ///< Those not killed.
-    std::multimap<Instant, std::function<void()>> events; ///< What happens next.
-    std::map<EntryId, TokenBucket> ownBuckets; ///< For Rules::BucketPerEntry.
-    int nextId = 0; ///< Of the next process.
+    CustomerDeclaration customer; ///< Customer under test.
+    FleetState fleet; ///< Committed state.
+    EntryLeaseTracker leases; ///< Leases, as the leader keeps them.
+    std::vector<EntryPointer> entries; ///< Entries that were not killed.
+    std::multimap<Instant, std::function<void()>> events; ///< Pending events by due time.
+    std::map<EntryId, TokenBucket> ownBuckets; ///< Bucket of each entry, for Rules::BucketPerEntry.
+    int nextId = 0; ///< Number of the next process.
 };
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(no_window_is_over_burst_and_rate_under_kills_pauses_isolation_and_moves)
+BOOST_AUTO_TEST_CASE(rate_limit_holds_under_kills_pauses_isolation_and_owner_changes)
 {
     int moves = 0;
     for (std::uint64_t seed = 1; seed <= 40; ++seed) {
         Simulation simulation(seed, Rules::Real);
         simulation.run(true);
         BOOST_TEST(simulation.worstExcess() <= 1e-3, "seed " << seed << " excess " << simulation.worstExcess());
-        BOOST_TEST(simulation.used.size() > 400U, "seed " << seed << " let through " << simulation.used.size());
+        BOOST_TEST(simulation.used.size() > 400U, "seed " << seed << " admitted " << simulation.used.size());
         moves += simulation.moves;
     }
     BOOST_TEST(moves > 150);
 }
 
-BOOST_AUTO_TEST_CASE(without_faults_the_whole_rate_is_let_through_and_nothing_inside_it_refused)
+BOOST_AUTO_TEST_CASE(without_faults_the_full_rate_is_admitted_and_nothing_within_it_refused)
 {
     Simulation inside(3, Rules::Real);
     inside.offeredPerSecond = 36;
@@ -393,11 +395,11 @@
     over.run(false);
     BOOST_TEST(over.worstExcess() <= 1e-3);
     BOOST_TEST(over.refused > 1000);
-    // Two of three seven-second spans are three times over the rate.
+    // In two of three periods of 7 s the offered load is three times the rate.
     BOOST_TEST(static_cast<double>(over.used.size()) > 0.95 * 40 * 89 * 2 / 3);
 }
 
-BOOST_AUTO_TEST_CASE(a_bucket_for_each_entry_would_break_the_bound_and_the_check_sees_it)
+BOOST_AUTO_TEST_CASE(check_detects_one_bucket_per_entry)
 {
     Simulation simulation(1, Rules::BucketPerEntry);
     simulation.run(false);
--- a/tests/unit/admission_tenure_test.cpp
+++ b/tests/unit/admission_tenure_test.cpp
@@ -1,11 +1,11 @@
-/** @file admission_tenure_test.cpp  Buckets, and from when a new owner of a slot may grant. */
+/** @file admission_tenure_test.cpp  Token buckets, and when a new owner of a slot may start granting. */
 #define BOOST_TEST_MODULE admission_tenure
 #include <boost/test/unit_test.hpp>
 
 #include <capnp/message.h>
 
-#include "admission/bucket_owner_base.h"
-#include "control/lease_keeper_base.h"
+#include "admission/customer_rate_limiter_base.h"
+#include "control/entry_lease_tracker_base.h"
 #include "fleet/fleet_base.h"
 #include "rpc/message_func.h"
 
@@ -25,109 +25,108 @@
         std::int64_t ms)
     {
         this->slots[Number] = SlotRecord{std::move(owner), Epoch{epoch}, std::move(former), Epoch{formerEpoch}};
-        this->facts = SlotFacts{Self, &this->slots, std::move(leased)};
-        this->tenures.update(this->facts, Instant(ms * 1000));
+        this->snapshot = SlotSnapshot{Self, &this->slots, std::move(leased)};
+        this->slotOwnerships.update(this->snapshot, Instant(ms * 1000));
     }
     std::int64_t startsInMs(std::int64_t ms)
     {
-        const auto starts = this->tenures.startsIn(Slot, Instant(ms * 1000));
+        const auto starts = this->slotOwnerships.timeUntilGrants(Slot, Instant(ms * 1000));
         return starts ? starts->count() / 1000 : -1;
     }
 
     std::vector<SlotRecord> slots = std::vector<SlotRecord>(SlotCount);
-    SlotFacts facts;
-    SlotTenures tenures;
+    SlotSnapshot snapshot;
+    SlotOwnershipTable slotOwnerships;
 };
 
 } // namespace
 
-BOOST_FIXTURE_TEST_CASE(the_first_owner_ever_begins_full_and_at_once, Fixture)
+BOOST_FIXTURE_TEST_CASE(first_owner_starts_at_once_with_full_buckets, Fixture)
 {
     this->see(Self, 5, {}, 0, {Self}, 0);
     BOOST_TEST(this->startsInMs(0) == 0);
-    BOOST_TEST((this->tenures.at(Slot).start == TenureStart::Full));
+    BOOST_TEST((this->slotOwnerships.at(Slot).initialLevel == InitialBucketLevel::Full));
 }
 
-BOOST_FIXTURE_TEST_CASE(a_successor_waits_for_a_former_owner_that_still_has_its_lease, Fixture)
+BOOST_FIXTURE_TEST_CASE(successor_waits_while_former_owner_holds_its_lease, Fixture)
 {
     this->see(Other, 5, {}, 0, {Self, Other}, 0);
     this->see(Self, 9, Other, 5, {Self, Other}, 10'000);
     BOOST_TEST(this->startsInMs(10'000) == 3300);
-    BOOST_TEST(this->tenures.wanted(this->facts, Instant(10'000'000)).size() == 1U);
+    BOOST_TEST(this->slotOwnerships.pendingHandovers(this->snapshot, Instant(10'000'000)).size() == 1U);
 }
 
-BOOST_FIXTURE_TEST_CASE(
-    a_successor_begins_at_once_where_the_lease_has_ended_and_the_former_epoch_was_long_seen, Fixture)
+BOOST_FIXTURE_TEST_CASE(successor_starts_at_once_after_expired_lease_of_long_known_owner, Fixture)
 {
     this->see(Other, 5, {}, 0, {Self, Other}, 0);
     this->see(Self, 9, Other, 5, {Self}, 10'000);
     BOOST_TEST(this->startsInMs(10'000) == 0);
 }
 
-BOOST_FIXTURE_TEST_CASE(an_owner_in_between_that_was_never_seen_makes_the_successor_wait, Fixture)
+BOOST_FIXTURE_TEST_CASE(successor_waits_after_an_owner_that_it_never_saw, Fixture)
 {
     this->see(Other, 5, {}, 0, {Self, Other}, 0);
     this->see(Self, 9, EntryId{"unseen"}, 7, {Self}, 10'000);
     BOOST_TEST(this->startsInMs(10'000) == 3300);
 }
 
-BOOST_FIXTURE_TEST_CASE(
-    a_lease_that_ended_shortly_after_the_move_to_it_shortens_the_wait_only_by_what_has_passed, Fixture)
+BOOST_FIXTURE_TEST_CASE(successor_waits_for_the_rest_after_expired_lease_of_recent_owner, Fixture)
 {
     this->see(Other, 5, {}, 0, {Self, Other}, 0);
     this->see(Self, 9, Other, 5, {Self}, 1'000);
     BOOST_TEST(this->startsInMs(1'000) == 2300);
 }
 
-BOOST_FIXTURE_TEST_CASE(a_slot_that_was_given_up_is_not_granted_for_again, Fixture)
+BOOST_FIXTURE_TEST_CASE(no_grants_for_a_released_slot, Fixture)
 {
     this->see(Self, 5, {}, 0, {Self, Other}, 0);
-    BOOST_TEST(this->tenures.giveUp(Slot, Epoch{5}, Instant(1000)));
+    BOOST_TEST(this->slotOwnerships.releaseSlot(Slot, Epoch{5}, Instant(1000)));
     BOOST_TEST(this->startsInMs(1) == -1);
-    BOOST_TEST(!this->tenures.giveUp(Slot, Epoch{4}, Instant(1000)));
+    BOOST_TEST(!this->slotOwnerships.releaseSlot(Slot, Epoch{4}, Instant(1000)));
 }
 
-BOOST_AUTO_TEST_CASE(a_planned_move_hands_the_level_over)
+BOOST_AUTO_TEST_CASE(handover_transfers_bucket_levels)
 {
-    const TenantDeclaration tenant{TenantId{"t"}, 10, 20, 1};
-    const SlotId slot = slotOf(tenant.id.text);
+    const CustomerDeclaration customer{CustomerId{"t"}, 10, 20, 1};
+    const SlotId slot = slotOf(customer.id.text);
     std::vector<SlotRecord> slots(SlotCount);
-    BucketOwner before;
-    BucketOwner after;
+    CustomerRateLimiter before;
+    CustomerRateLimiter after;
     slots[slot.value] = SlotRecord{Other, Epoch{5}, {}, Epoch{}};
-    before.update(SlotFacts{Other, &slots, {Self, Other}}, Instant(0));
-    after.update(SlotFacts{Self, &slots, {Self, Other}}, Instant(0));
+    before.update(SlotSnapshot{Other, &slots, {Self, Other}}, Instant(0));
+    after.update(SlotSnapshot{Self, &slots, {Self, Other}}, Instant(0));
     const Instant lease(60'000'000);
-    const std::size_t granted = before.admit(tenant, 1000, Instant(0), lease).delays.size();
-    BOOST_TEST(granted == 17U + 20U); // 20 less what is earned in GrantLife, and two seconds ahead.
+    const std::size_t granted = before.admit(customer, 1000, Instant(0), lease).delays.size();
+    BOOST_TEST(
+        granted == 17U + 20U); // Capacity is the burst of 20 less the refill during GrantTtl; 2 s are reserved ahead.
     slots[slot.value] = SlotRecord{Self, Epoch{9}, Other, Epoch{5}};
-    const SlotFacts facts{Self, &slots, {Self, Other}};
-    after.update(facts, Instant(1'000'000));
-    BOOST_TEST((after.admit(tenant, 1, Instant(1'000'000), lease).state == AdmitState::NotYet));
-    const auto wanted = after.tenures.wanted(facts, Instant(1'000'000));
-    BOOST_REQUIRE(wanted.size() == 1U);
-    const auto levels = before.giveUp(slot, Epoch{5}, {tenant}, Instant(1'000'000));
+    const SlotSnapshot snapshot{Self, &slots, {Self, Other}};
+    after.update(snapshot, Instant(1'000'000));
+    BOOST_TEST((after.admit(customer, 1, Instant(1'000'000), lease).state == AdmissionState::NotYet));
+    const auto pending = after.slotOwnerships.pendingHandovers(snapshot, Instant(1'000'000));
+    BOOST_REQUIRE(pending.size() == 1U);
+    const auto levels = before.releaseSlot(slot, Epoch{5}, {customer}, Instant(1'000'000));
     BOOST_REQUIRE(levels.has_value());
-    after.adopt(wanted[0], *levels, Instant(1'000'000));
-    BOOST_TEST((before.admit(tenant, 1, Instant(1'000'000), lease).state == AdmitState::NotOwner));
-    // Two seconds were reserved ahead, one has passed: one more second may be reserved.
-    BOOST_TEST(after.admit(tenant, 1000, Instant(1'000'000), lease).delays.size() == 10U);
+    after.adopt(pending[0], *levels, Instant(1'000'000));
+    BOOST_TEST((before.admit(customer, 1, Instant(1'000'000), lease).state == AdmissionState::NotOwner));
+    // 2 s were reserved ahead and 1 s has passed, so 1 s more may be reserved.
+    BOOST_TEST(after.admit(customer, 1000, Instant(1'000'000), lease).delays.size() == 10U);
 }
 
-BOOST_AUTO_TEST_CASE(nothing_is_granted_that_falls_due_after_the_lease)
+BOOST_AUTO_TEST_CASE(no_grant_falls_due_after_the_lease)
 {
-    const TenantDeclaration tenant{TenantId{"t"}, 10, 20, 1};
+    const CustomerDeclaration customer{CustomerId{"t"}, 10, 20, 1};
     std::vector<SlotRecord> slots(SlotCount);
     slots[slotOf("t").value] = SlotRecord{Self, Epoch{5}, {}, Epoch{}};
-    BucketOwner owner;
-    owner.update(SlotFacts{Self, &slots, {Self}}, Instant(0));
-    const AdmitVerdict verdict = owner.admit(tenant, 1000, Instant(0), Instant(500'000));
-    BOOST_TEST(verdict.delays.size() == 17U + 5U);
-    BOOST_TEST((verdict.delays.back() <= Duration(500'000)));
-    BOOST_TEST((owner.admit(tenant, 1, Instant(600'000), Instant(500'000)).state == AdmitState::NotYet));
+    CustomerRateLimiter owner;
+    owner.update(SlotSnapshot{Self, &slots, {Self}}, Instant(0));
+    const AdmissionDecision decision = owner.admit(customer, 1000, Instant(0), Instant(500'000));
+    BOOST_TEST(decision.delays.size() == 17U + 5U);
+    BOOST_TEST((decision.delays.back() <= Duration(500'000)));
+    BOOST_TEST((owner.admit(customer, 1, Instant(600'000), Instant(500'000)).state == AdmissionState::NotYet));
 }
 
-BOOST_AUTO_TEST_CASE(a_lease_whose_end_was_proposed_is_not_renewed_but_a_later_one_is)
+BOOST_AUTO_TEST_CASE(lease_with_proposed_end_is_not_renewed)
 {
     FleetState fleet;
     const auto grant = [&](std::uint64_t index) {
@@ -137,13 +136,13 @@
         command.setAddress("a");
         fleet.apply(index, flatBytes(message));
     };
-    LeaseKeeper leases;
+    EntryLeaseTracker leases;
     grant(1);
-    leases.heard(Other, HeardEntry{Instant(0), 0, 0, Epoch{}});
-    BOOST_TEST(leases.expired(fleet, Instant(3'300'000)).empty());
-    BOOST_TEST(leases.expired(fleet, Instant(3'300'001)).size() == 1U);
+    leases.recordContact(Other, EntryContact{Instant(0), 0, 0, Epoch{}});
+    BOOST_TEST(leases.markExpired(fleet, Instant(3'300'000)).empty());
+    BOOST_TEST(leases.markExpired(fleet, Instant(3'300'001)).size() == 1U);
     BOOST_TEST(leases.isEnding(Other, Epoch{1}));
     grant(2);
     BOOST_TEST(!leases.isEnding(Other, Epoch{2}));
-    BOOST_TEST(leases.expired(fleet, Instant(3'400'000)).empty());
+    BOOST_TEST(leases.markExpired(fleet, Instant(3'400'000)).empty());
 }
--- a/tests/unit/fleet_view_test.cpp
+++ b/tests/unit/fleet_view_test.cpp
@@ -1,5 +1,5 @@
-/** @file fleet_view_test.cpp  Views that are brought up to date change by change equal views made afresh; deltas that
- * are found by log index hold all that changed. */
+/** @file fleet_view_test.cpp  A view that is updated incrementally must equal a view built from scratch, and deltas by
+ * log index must hold all changes. */
 #define BOOST_TEST_MODULE fleet_view
 #include <random>
 #include <string>
@@ -19,7 +19,7 @@
 constexpr int Names = 12;
 constexpr int Steps = 600;
 
-/** A random command on a small set of tenants, keys and entries. */
+/** A random command on a small set of customers, keys and entries. */
 std::string randomCommand(std::mt19937 &random, std::uint64_t revision)
 {
     const std::string number = std::to_string(random() % Names);
@@ -30,12 +30,12 @@
         auto apply = command.initApply();
         apply.setExpectedRevision(revision);
         auto change = apply.initChanges(1)[0];
-        const bool tenant = random() % 4 != 0;
-        change.setSection(tenant ? "tenants" : "models");
+        const bool customer = random() % 4 != 0;
+        change.setSection(customer ? "tenants" : "models");
         change.setName("name-" + number);
         const std::string rate = std::to_string(1 + random() % 9);
         const std::string json =
-            tenant ? R"({"rate":)" + rate + R"(,"burst":9})" : R"({"max_tokens":)" + rate + R"(,"timeout_ms":9000})";
+            customer ? R"({"rate":)" + rate + R"(,"burst":9})" : R"({"max_tokens":)" + rate + R"(,"timeout_ms":9000})";
         change.setJson(random() % 3 == 0 ? "" : json);
         break;
     }
@@ -69,11 +69,11 @@
 std::string describe(const FleetView &view)
 {
     std::map<std::string, std::string> lines;
-    for (const auto &[hash, caller] : view.callers) {
-        lines["caller " + toHex(hash)] = caller.tenant.text + "/" + caller.key.text;
+    for (const auto &[hash, caller] : view.clients) {
+        lines["caller " + toHex(hash)] = caller.customer.text + "/" + caller.key.text;
     }
-    for (const auto &[id, tenant] : view.tenants) {
-        lines["tenant " + id.text] = std::to_string(tenant.ratePerSecond);
+    for (const auto &[id, customer] : view.customers) {
+        lines["tenant " + id.text] = std::to_string(customer.ratePerSecond);
     }
     for (const auto &[id, model] : view.models) {
         lines["model " + id.text] = std::to_string(model.maxTokens);
@@ -94,7 +94,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(a_view_updated_by_deltas_equals_one_made_afresh)
+BOOST_AUTO_TEST_CASE(incremental_view_equals_rebuilt_view)
 {
     std::mt19937 random(7);
     FleetState leader;
@@ -104,7 +104,7 @@
     for (std::uint64_t index = 1; index <= Steps; ++index) {
         leader.apply(index, randomCommand(random, leader.revision().value));
         if (random() % 3 == 0) {
-            continue; // Several changes in one delta.
+            continue; // Collects several changes in one delta.
         }
         const std::uint64_t before = copy.index();
         capnp::MallocMessageBuilder message;
@@ -113,12 +113,12 @@
         BOOST_REQUIRE(copy.applyDelta(delta.asReader()));
         view = delta.getWhole() ? makeView(copy) : updateView(*view, copy, before);
         BOOST_REQUIRE_EQUAL(describe(*view), describe(*makeView(leader)));
-        withKeys += view->callers.empty() ? 0 : 1;
+        withKeys += view->clients.empty() ? 0 : 1;
     }
     BOOST_TEST(withKeys > Steps / 4);
 }
 
-BOOST_AUTO_TEST_CASE(a_copied_table_finds_its_own_changes)
+BOOST_AUTO_TEST_CASE(copied_table_indexes_its_own_rows)
 {
     FleetState leader;
     std::mt19937 random(8);
